--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -2,9 +2,9 @@
 //! `pgwire`, with terms, log positions, replication with a settable lag, promotion, and faults.
 //! Test support; not shipped.
 
+mod connection;
 mod fault;
-mod life;
-mod server;
+mod incarnation;
 mod sql;
 mod state;
 
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use fault::{Fault, Faults};
-use life::Switch;
+use incarnation::Switch;
 use state::Group;
 
 /// How often the primary reaches its replicas and they apply what is due.
@@ -157,7 +157,7 @@
 async fn serve_connection(socket: TcpStream, shared: Arc<Shared>, index: usize) {
     let _ = socket.set_nodelay(true);
     let life = shared.switches[index].life();
-    let handlers = server::Handlers(server::Connection::new(shared, index, life.clone()));
+    let handlers = connection::Handlers(connection::Connection::new(shared, index, life.clone()));
     tokio::select! {
         biased;
         () = life.ended() => {}
--- a/crates/standin/src/group/server.rs
+++ b/crates/standin/src/group/connection.rs
@@ -21,7 +21,7 @@
 };
 
 use super::{
-    life::Life,
+    incarnation::Life,
     sql::{self, Command},
     state::{Entry, Op, Progress, Refusal},
     Shared,
--- a/crates/standin/src/group/state.rs
+++ b/crates/standin/src/group/state.rs
@@ -5,13 +5,13 @@
 //! as with PostgreSQL's `synchronous_standby_names = 'ANY 1 (...)'`. A server that holds a
 //! term refuses entries of any lower one.
 
-mod member;
+mod server;
 
 use std::time::{Duration, Instant};
 
 use dandelionpitch_core::position::Position;
 
-use self::member::Server;
+use self::server::Server;
 
 /// A superseded primary goes on leading until this long after it can reach its successor.
 const STEP_DOWN_AFTER: Duration = Duration::from_secs(1);
--- a/crates/standin/src/line.rs
+++ b/crates/standin/src/line.rs
@@ -4,11 +4,11 @@
 //! It is written from the platform's published protocol, apart from the proxy's own codec, so that
 //! the tests do not only show that the codec agrees with itself.
 
+mod connection;
 mod database;
-mod experiment;
 mod http;
-mod server;
 mod store;
+mod test_api;
 
 use std::{
     net::SocketAddr,
@@ -99,7 +99,7 @@
     };
     shared.change(|_| ());
     for (index, listener) in listeners.into_iter().enumerate() {
-        rocket::tokio::spawn(server::serve(listener, index, shared.clone()));
+        rocket::tokio::spawn(connection::serve(listener, index, shared.clone()));
     }
     http::serve(host, shared)
         .await
--- a/crates/standin/src/line/http.rs
+++ b/crates/standin/src/line/http.rs
@@ -18,8 +18,8 @@
 };
 
 use super::{
-    experiment::{self, journal},
     store::{Event, Item, Refused},
+    test_api::{self, journal},
     Shared, SERVICE,
 };
 
@@ -275,7 +275,7 @@
             "/",
             routes![key, range, watch, txn, lease, keep, end, promote],
         )
-        .mount("/test", experiment::routes())
+        .mount("/test", test_api::routes())
         .attach(rocket::fairing::AdHoc::on_response(
             "era",
             |request, response| {
