--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -1,6 +1,5 @@
-//! The stand-in database group: servers on loopback that speak PostgreSQL wire protocol through
-//! `pgwire`, with terms, log positions, replication with a settable lag, promotion, and faults.
-//! Test support; not shipped.
+//! Fake database group for tests: servers that speak the PostgreSQL wire protocol through `pgwire`,
+//! with terms, log positions, replication with a configurable lag, promotion and fault injection.
 
 mod connection;
 mod fault;
@@ -17,125 +16,131 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use fault::{Fault, Faults};
-use incarnation::Switch;
+use incarnation::Lifecycle;
 use state::Group;
 
-/// How often the primary reaches its replicas and they apply what is due.
-const REPLICATE_EVERY: Duration = Duration::from_millis(2);
-/// How long a restarted server waits before it tries again to listen on its address.
-const LISTEN_RETRY: Duration = Duration::from_millis(10);
+/// Interval at which primaries replicate and replicas apply entries older than their lag.
+const REPLICATION_INTERVAL: Duration = Duration::from_millis(2);
+/// Delay between attempts of a restarted server to bind its address.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How a stand-in group behaves.
+/// Configuration of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How many servers; the first is primary.
+    /// Number of servers; the first is the initial primary.
     pub servers: usize,
-    /// How late a replica applies what it has received.
+    /// Time after which a replica applies an entry.
     pub lag: Duration,
-    /// How many replicas must receive a commit before it is acknowledged.
-    pub sync: usize,
-    /// How long a promotion takes.
-    pub promote: Duration,
+    /// Number of replicas that must receive a commit before it is acknowledged.
+    pub sync_replicas: usize,
+    /// Time a promotion takes.
+    pub promotion_delay: Duration,
 }
 
-/// What the connections to all servers of a group share.
+/// State shared by all connections to all servers of a group.
 #[derive(Debug)]
 pub struct Shared {
     settings: Settings,
     group: Mutex<Group>,
     faults: Mutex<Faults>,
-    switches: Vec<Switch>,
+    lifecycles: Vec<Lifecycle>,
 }
 
 impl Shared {
     fn new(settings: Settings) -> Self {
         Self {
             settings,
-            group: Mutex::new(Group::new(settings.servers, settings.lag, settings.sync)),
+            group: Mutex::new(Group::new(
+                settings.servers,
+                settings.lag,
+                settings.sync_replicas,
+            )),
             faults: Mutex::new(Faults::default()),
-            switches: (0..settings.servers).map(|_| Switch::new()).collect(),
+            lifecycles: (0..settings.servers).map(|_| Lifecycle::new()).collect(),
         }
     }
 
-    /// Whether a caller in `dc` gets no answer from `server` now, on a connection opened when
-    /// there had been `silences`.
-    fn blocked(&self, server: usize, dc: &str, silences: u64) -> bool {
-        let frozen = self.group.lock().unwrap().frozen(server);
+    /// Whether `server` must not answer a caller in data centre `dc`. `silence_count` is the number
+    /// of `silence` faults the server had received when the caller's connection was opened.
+    fn is_blocked(&self, server: usize, dc: &str, silence_count: u64) -> bool {
+        let frozen = self.group.lock().unwrap().is_frozen(server);
         let faults = self.faults.lock().unwrap();
-        frozen || faults.cut(server, dc) || faults.silences(server) > silences
+        frozen || faults.is_partitioned(server, dc) || faults.silence_count(server) > silence_count
     }
 
-    /// Switches a fault on or off; an unknown server is refused.
-    fn set(&self, fault: Fault) -> Result<(), String> {
+    /// Applies a fault, or returns an error if its server does not exist.
+    fn apply_fault(&self, fault: Fault) -> Result<(), String> {
         if fault.server() >= self.settings.servers {
-            return Err(format!("no server {}", fault.server()));
+            return Err(format!("server {} does not exist", fault.server()));
         }
         let mut group = self.group.lock().unwrap();
         let mut faults = self.faults.lock().unwrap();
         match fault {
             Fault::Kill(server) => {
-                group.set_up(server, false);
-                self.switches[server].kill();
+                group.set_running(server, false);
+                self.lifecycles[server].kill();
             }
             Fault::Start(server) => {
-                group.set_up(server, true);
-                self.switches[server].start();
+                group.set_running(server, true);
+                self.lifecycles[server].start();
             }
             Fault::Wipe(server) => {
                 group.wipe(server);
-                group.set_up(server, true);
-                self.switches[server].start();
+                group.set_running(server, true);
+                self.lifecycles[server].start();
             }
             Fault::Freeze(server) => group.set_frozen(server, true),
             Fault::Thaw(server) => group.set_frozen(server, false),
             Fault::Isolate(server) => group.set_isolated(server, true),
-            Fault::Join(server) => group.set_isolated(server, false),
-            Fault::Cut(server, dc) => faults.set_cut(server, dc, true),
-            Fault::Heal(server, dc) => faults.set_cut(server, dc, false),
+            Fault::Rejoin(server) => group.set_isolated(server, false),
+            Fault::Partition(server, dc) => faults.set_partitioned(server, dc, true),
+            Fault::Heal(server, dc) => faults.set_partitioned(server, dc, false),
             Fault::Silence(server) => faults.silence(server),
-            Fault::SlowFence(server, ms) => faults.set_slow_fence(server, ms),
+            Fault::SlowFence(server, ms) => faults.set_fence_delay(server, ms),
         }
         Ok(())
     }
 }
 
-/// Serves a group on `host` until the process ends; prints the servers' addresses on stdout,
-/// the first being the primary.
+/// Runs a group on `host` until the process ends. Prints the servers' addresses on stdout, separated
+/// by commas, the initial primary first.
 pub async fn serve(host: std::net::IpAddr, settings: Settings) -> std::io::Result<()> {
     let shared = Arc::new(Shared::new(settings));
-    let mut addresses: Vec<SocketAddr> = Vec::with_capacity(settings.servers);
+    let mut addrs: Vec<SocketAddr> = Vec::with_capacity(settings.servers);
     for index in 0..settings.servers {
         let listener = TcpListener::bind((host, 0)).await?;
-        addresses.push(listener.local_addr()?);
+        addrs.push(listener.local_addr()?);
         tokio::spawn(run(listener, shared.clone(), index));
     }
-    let list: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
-    crate::announce(&list.join(","));
+    let addr_list: Vec<String> = addrs.iter().map(SocketAddr::to_string).collect();
+    crate::announce(&addr_list.join(","));
     loop {
-        tokio::time::sleep(REPLICATE_EVERY).await;
+        tokio::time::sleep(REPLICATION_INTERVAL).await;
         shared.group.lock().unwrap().replicate(Instant::now());
     }
 }
 
-/// Runs one server through its kills and starts.
+/// Accepts connections for one server while it is running, across kills and restarts.
 async fn run(listener: TcpListener, shared: Arc<Shared>, index: usize) {
-    let address = listener.local_addr().expect("a bound listener");
-    let switch = &shared.switches[index];
+    let addr = listener
+        .local_addr()
+        .expect("bound listener has an address");
+    let lifecycle = &shared.lifecycles[index];
     let mut listener = Some(listener);
     loop {
         if let Some(open) = listener.take() {
-            let life = switch.life();
-            switch.set_listens(true);
+            let incarnation = lifecycle.incarnation();
+            lifecycle.set_listening(true);
             tokio::select! {
                 () = accept(open, &shared, index) => {}
-                () = life.ended() => {}
+                () = incarnation.wait_ended() => {}
             }
-            switch.set_listens(false);
+            lifecycle.set_listening(false);
         }
-        switch.started().await;
-        match TcpListener::bind(address).await {
+        lifecycle.wait_started().await;
+        match TcpListener::bind(addr).await {
             Ok(open) => listener = Some(open),
-            Err(_) => tokio::time::sleep(LISTEN_RETRY).await,
+            Err(_) => tokio::time::sleep(LISTEN_RETRY_DELAY).await,
         }
     }
 }
@@ -149,18 +154,21 @@
     }
 }
 
-/// Serves one connection until it ends or the server is killed.
+/// Serves one connection until it closes or the server is killed.
 ///
-/// Failure: a kill is answered before the killed server's connections have noticed it, and one
-/// of them answers a statement that was sent after the kill. Guard: a connection looks for the
-/// end of its life before it looks for statements, and answers none after it.
+/// The `select!` is biased so that a connection checks for a kill before it reads a statement:
+/// otherwise it could answer a statement sent after the kill was acknowledged.
 async fn serve_connection(socket: TcpStream, shared: Arc<Shared>, index: usize) {
     let _ = socket.set_nodelay(true);
-    let life = shared.switches[index].life();
-    let handlers = connection::Handlers(connection::Connection::new(shared, index, life.clone()));
+    let incarnation = shared.lifecycles[index].incarnation();
+    let handlers = connection::Handlers(connection::Connection::new(
+        shared,
+        index,
+        incarnation.clone(),
+    ));
     tokio::select! {
         biased;
-        () = life.ended() => {}
+        () = incarnation.wait_ended() => {}
         _ = pgwire::tokio::process_socket(socket, None, handlers) => {}
     }
 }
--- a/crates/standin/src/group/connection.rs
+++ b/crates/standin/src/group/connection.rs
@@ -1,4 +1,4 @@
-//! One stand-in server's PostgreSQL-wire front: a handler per caller connection.
+//! Handler of one caller connection over the PostgreSQL wire protocol.
 
 use std::{
     fmt::Debug,
@@ -21,71 +21,77 @@
 };
 
 use super::{
-    incarnation::Life,
+    incarnation::Incarnation,
     sql::{self, Command},
-    state::{Entry, Op, Progress, Refusal},
+    state::{Entry, Op, Progress, WriteError},
     Shared,
 };
 
-/// How often a wait for replicas, or for the end of a freeze or cut, looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(1);
+/// Interval for polling replication progress and the end of a freeze or partition.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The handler of one caller connection to server `index`.
+/// A caller's connection to server `index`.
 pub struct Connection {
     shared: Arc<Shared>,
     index: usize,
-    /// The server's life in which this connection was opened.
-    life: Life,
-    /// The caller's data centre, the middle part of an application name such as
-    /// `dandelionpitch/dc-1/proxy-1`; empty for callers that are not proxies.
+    /// Incarnation of the server that accepted this connection.
+    incarnation: Incarnation,
+    /// Data centre of the caller: the second part of an application name such as
+    /// `dandelionpitch/dc-1/proxy-1`, or empty if there is none.
     dc: Mutex<String>,
-    /// How often the server's connections had been silenced when this one was opened.
-    silences: u64,
-    /// The ops of the open transaction, if one is open.
-    pending: Mutex<Option<Vec<Op>>>,
-    /// The values set on this connection.
-    values: Mutex<Map<String, String>>,
+    /// The server's count of `silence` faults when this connection was opened.
+    silence_count: u64,
+    /// Buffered writes of the open transaction, or `None` if no transaction is open.
+    transaction_ops: Mutex<Option<Vec<Op>>>,
+    /// Session parameters set with `SET`.
+    session_values: Mutex<Map<String, String>>,
 }
 
 impl Connection {
-    /// A handler for a new connection to server `index` of a group, in this life of it.
-    pub fn new(shared: Arc<Shared>, index: usize, life: Life) -> Arc<Self> {
-        let silences = shared.faults.lock().unwrap().silences(index);
+    pub fn new(shared: Arc<Shared>, index: usize, incarnation: Incarnation) -> Arc<Self> {
+        let silence_count = shared.faults.lock().unwrap().silence_count(index);
         Arc::new(Self {
             shared,
             index,
-            life,
-            silences,
+            incarnation,
+            silence_count,
             dc: Mutex::new(String::new()),
-            pending: Mutex::new(None),
-            values: Mutex::new(Map::default()),
+            transaction_ops: Mutex::new(None),
+            session_values: Mutex::new(Map::default()),
         })
     }
 
-    /// Waits while the server is frozen or cut off from this caller, and for good once it was
-    /// killed: the connection is dropped then.
-    async fn gate(&self) {
+    /// Waits while a fault keeps the server from answering this caller. Never returns once the server
+    /// was killed; the connection task is then dropped.
+    async fn wait_unblocked(&self) {
         let dc = self.dc.lock().unwrap().clone();
-        while self.life.over() || self.shared.blocked(self.index, &dc, self.silences) {
-            tokio::time::sleep(LOOK_AGAIN).await;
+        while self.incarnation.has_ended()
+            || self.shared.is_blocked(self.index, &dc, self.silence_count)
+        {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn run(&self, command: Command) -> PgWireResult<Response> {
+    async fn execute(&self, command: Command) -> PgWireResult<Response> {
         match command {
             Command::Begin => {
-                *self.pending.lock().unwrap() = Some(Vec::new());
+                *self.transaction_ops.lock().unwrap() = Some(Vec::new());
                 Ok(Response::TransactionStart(Tag::new("BEGIN")))
             }
             Command::Commit => {
-                let ops = self.pending.lock().unwrap().take().unwrap_or_default();
+                let ops = self
+                    .transaction_ops
+                    .lock()
+                    .unwrap()
+                    .take()
+                    .unwrap_or_default();
                 if !ops.is_empty() {
                     self.commit(ops).await?;
                 }
                 Ok(Response::TransactionEnd(Tag::new("COMMIT")))
             }
             Command::Rollback => {
-                *self.pending.lock().unwrap() = None;
+                *self.transaction_ops.lock().unwrap() = None;
                 Ok(Response::TransactionEnd(Tag::new("ROLLBACK")))
             }
             Command::Write(op) => self.write(op).await,
@@ -101,11 +107,11 @@
                 text_rows(&names, vec![values])
             }
             Command::Set(name, value) => {
-                self.values.lock().unwrap().insert(name, value);
+                self.session_values.lock().unwrap().insert(name, value);
                 Ok(Response::Execution(Tag::new("SET")))
             }
             Command::Discard => {
-                self.values.lock().unwrap().clear();
+                self.session_values.lock().unwrap().clear();
                 Ok(Response::Execution(Tag::new("DISCARD ALL")))
             }
             Command::Show(name) => self.show(&name),
@@ -124,9 +130,9 @@
             }
             Command::Fault(fault) => {
                 let server = fault.server();
-                let outcome = self.shared.set(fault);
+                let outcome = self.shared.apply_fault(fault);
                 outcome.map_err(|text| error("22023", text))?;
-                self.shared.switches[server].settled().await;
+                self.shared.lifecycles[server].wait_settled().await;
                 text_rows(&["fault"], vec![vec!["set".to_owned()]])
             }
         }
@@ -138,15 +144,15 @@
             Op::Update { .. } => Tag::new("UPDATE").with_rows(1),
             Op::Delete { .. } => Tag::new("DELETE").with_rows(1),
         };
-        if let Some(op) = self.defer(op) {
+        if let Some(op) = self.buffer_in_transaction(op) {
             self.commit(vec![op]).await?;
         }
         Ok(Response::Execution(tag))
     }
 
-    /// Keeps `op` for the open transaction, or hands it back when none is open.
-    fn defer(&self, op: Op) -> Option<Op> {
-        match self.pending.lock().unwrap().as_mut() {
+    /// Adds `op` to the open transaction, or returns it if no transaction is open.
+    fn buffer_in_transaction(&self, op: Op) -> Option<Op> {
+        match self.transaction_ops.lock().unwrap().as_mut() {
             Some(ops) => {
                 ops.push(op);
                 None
@@ -155,12 +161,12 @@
         }
     }
 
-    /// Commits `ops` and waits until enough replicas have received them.
+    /// Commits `ops` and waits until `sync_replicas` replicas have received them.
     async fn commit(&self, ops: Vec<Op>) -> PgWireResult<()> {
         let outcome = self.shared.group.lock().unwrap().commit(self.index, ops);
-        let position = outcome.map_err(|refusal| match refusal {
-            Refusal::ReadOnly => read_only(),
-            Refusal::Duplicate(id) => error(
+        let position = outcome.map_err(|write_error| match write_error {
+            WriteError::ReadOnly => read_only(),
+            WriteError::Duplicate(id) => error(
                 "23505",
                 format!("duplicate key value violates unique constraint: id {id}"),
             ),
@@ -168,35 +174,35 @@
         loop {
             let progress = {
                 let mut group = self.shared.group.lock().unwrap();
-                group.progress(self.index, position)
+                group.commit_progress(self.index, position)
             };
             match progress {
-                Progress::Done => return Ok(()),
-                Progress::Waiting => tokio::time::sleep(LOOK_AGAIN).await,
-                Progress::Lost => {
+                Progress::Complete => return Ok(()),
+                Progress::Pending => tokio::time::sleep(POLL_INTERVAL).await,
+                Progress::LeadershipLost => {
                     return Err(error(
                         "40003",
-                        "the server lost the lead before the commit was replicated",
+                        "the server lost leadership before the commit was replicated",
                     ))
                 }
             }
         }
     }
 
-    /// The server's position, once enough replicas confirm that it leads.
+    /// Returns the server's applied position after `sync_replicas` replicas confirmed its leadership.
     async fn barrier(&self) -> PgWireResult<Response> {
         loop {
             let (progress, position) = {
                 let mut group = self.shared.group.lock().unwrap();
                 let position = group.status(self.index, Instant::now()).position;
-                (group.confirm(self.index), position)
+                (group.confirm_leadership(self.index), position)
             };
             match progress {
-                Progress::Done => {
+                Progress::Complete => {
                     return text_rows(&["position"], vec![vec![position.to_string()]])
                 }
-                Progress::Waiting => tokio::time::sleep(LOOK_AGAIN).await,
-                Progress::Lost => return Err(read_only()),
+                Progress::Pending => tokio::time::sleep(POLL_INTERVAL).await,
+                Progress::LeadershipLost => return Err(read_only()),
             }
         }
     }
@@ -204,18 +210,23 @@
     async fn fence(&self, term: u64) -> PgWireResult<Response> {
         let outcome = self.shared.group.lock().unwrap().fence(self.index, term);
         let received = outcome.map_err(|text| error("55000", text))?;
-        let late = self.shared.faults.lock().unwrap().slow_fence(self.index);
-        tokio::time::sleep(Duration::from_millis(late)).await;
-        let log = self.shared.group.lock().unwrap();
-        let log = log.status(self.index, Instant::now()).log;
+        let delay = self
+            .shared
+            .faults
+            .lock()
+            .unwrap()
+            .fence_delay_ms(self.index);
+        tokio::time::sleep(Duration::from_millis(delay)).await;
+        let group = self.shared.group.lock().unwrap();
+        let log_id = group.status(self.index, Instant::now()).log_id;
         text_rows(
             &["received", "log"],
-            vec![vec![received.to_string(), log.to_string()]],
+            vec![vec![received.to_string(), log_id.to_string()]],
         )
     }
 
     async fn promote(&self, term: u64) -> PgWireResult<Response> {
-        tokio::time::sleep(self.shared.settings.promote).await;
+        tokio::time::sleep(self.shared.settings.promotion_delay).await;
         let outcome = self.shared.group.lock().unwrap().promote(self.index, term);
         let position = outcome.map_err(|text| error("55000", text))?;
         text_rows(&["position"], vec![vec![position.to_string()]])
@@ -239,21 +250,25 @@
                     status.server.to_string(),
                     status.role.name().to_owned(),
                     status.term.to_string(),
-                    status.log.to_string(),
+                    status.log_id.to_string(),
                     status.position.to_string(),
                     status.lag.as_millis().to_string(),
-                    status.silent.as_millis().to_string(),
+                    status.since_primary_contact.as_millis().to_string(),
                 ]],
             ),
             "dandelionpitch.position" => {
                 text_rows(&["position"], vec![vec![status.position.to_string()]])
             }
             "dandelionpitch.history" => {
-                let rows = group.log(self.index).iter().flat_map(rows_of).collect();
+                let rows = group
+                    .log(self.index)
+                    .iter()
+                    .flat_map(history_rows)
+                    .collect();
                 text_rows(&["position", "id"], rows)
             }
             "dandelionpitch.server" => text_rows(&["server"], vec![vec![self.index.to_string()]]),
-            other => match self.values.lock().unwrap().get(other) {
+            other => match self.session_values.lock().unwrap().get(other) {
                 Some(value) => text_rows(&[other], vec![vec![value.clone()]]),
                 None => Err(error("42704", format!("unrecognized parameter {other:?}"))),
             },
@@ -261,8 +276,8 @@
     }
 }
 
-/// One row per change of a log entry: its position and the id of the changed row.
-fn rows_of(entry: &Entry) -> Vec<Vec<String>> {
+/// Returns a result row for each write of a log entry: the entry's position and the changed row's id.
+fn history_rows(entry: &Entry) -> Vec<Vec<String>> {
     let row = |op: &Op| vec![entry.position.to_string(), op.id().to_owned()];
     entry.ops.iter().map(row).collect()
 }
@@ -322,7 +337,7 @@
         let name = client.metadata().get("application_name");
         let dc = name.and_then(|name| name.split('/').nth(1));
         *self.dc.lock().unwrap() = dc.unwrap_or_default().to_owned();
-        self.gate().await;
+        self.wait_unblocked().await;
         Ok(())
     }
 }
@@ -337,9 +352,9 @@
     {
         let commands = sql::parse(query).map_err(|text| error("42601", text))?;
         let mut responses = Vec::with_capacity(commands.len());
-        self.gate().await;
+        self.wait_unblocked().await;
         for command in commands {
-            match self.run(command).await {
+            match self.execute(command).await {
                 Ok(response) => responses.push(response),
                 Err(PgWireError::UserError(info)) => {
                     responses.push(Response::Error(info));
@@ -348,12 +363,12 @@
                 Err(other) => return Err(other),
             }
         }
-        self.gate().await;
+        self.wait_unblocked().await;
         Ok(responses)
     }
 }
 
-/// The handlers pgwire asks for, all served by the connection.
+/// The handler set `pgwire` requires, with the connection as every handler.
 pub struct Handlers(pub Arc<Connection>);
 
 impl PgWireServerHandlers for Handlers {
--- a/crates/standin/src/group/fault.rs
+++ b/crates/standin/src/group/fault.rs
@@ -1,36 +1,36 @@
-//! The faults an experiment can switch on in a stand-in group.
+//! Faults that a test can inject into a group.
 
 use dandelionpitch_core::hash::{Map, Set};
 
-/// One fault, as `dandelionpitch_fault(kind, server[, detail])` names it.
+/// A fault, requested with `SELECT dandelionpitch_fault(kind, server[, detail])`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// `kill`: the server drops every connection and refuses new ones.
+    /// `kill`: the server closes every connection and refuses new ones.
     Kill(usize),
-    /// `start`: a killed server comes back with its log.
+    /// `start`: a killed server restarts with its log.
     Start(usize),
-    /// `wipe`: a killed server comes back on its address with an empty log.
+    /// `wipe`: a killed server restarts on its address with its log lost.
     Wipe(usize),
-    /// `freeze`: the server answers nothing and replicates nothing; connections stay open.
+    /// `freeze`: the server stops answering and replicating; connections stay open.
     Freeze(usize),
-    /// `thaw`: the end of a freeze.
+    /// `thaw`: ends `freeze`.
     Thaw(usize),
-    /// `isolate`: the server is cut off from the other servers of the group.
+    /// `isolate`: the server is partitioned from the other servers of the group.
     Isolate(usize),
-    /// `join`: the end of an isolation.
-    Join(usize),
-    /// `cut`: callers of the data centre named in the detail get no answer from the server.
-    Cut(usize, String),
-    /// `heal`: the end of a cut.
+    /// `join`: ends `isolate`.
+    Rejoin(usize),
+    /// `cut`: the server does not answer callers in the data centre named by the detail.
+    Partition(usize, String),
+    /// `heal`: ends `cut`.
     Heal(usize, String),
-    /// `silence`: the connections the server has now get no further answer; new ones do.
+    /// `silence`: connections that are open now get no further answers; new ones do.
     Silence(usize),
-    /// `slow_fence`: the server answers a fence only this many milliseconds after obeying it.
+    /// `slow_fence`: the server answers a fence this many milliseconds after applying it.
     SlowFence(usize, u64),
 }
 
 impl Fault {
-    /// Reads a fault from the arguments of its call.
+    /// Parses the arguments of a `dandelionpitch_fault` call.
     pub fn parse(arguments: &[String]) -> Result<Self, String> {
         let kind = arguments.first().map_or("", String::as_str);
         let server = arguments
@@ -48,19 +48,18 @@
             "freeze" => Self::Freeze(server),
             "thaw" => Self::Thaw(server),
             "isolate" => Self::Isolate(server),
-            "join" => Self::Join(server),
-            "cut" => Self::Cut(server, detail()?),
+            "join" => Self::Rejoin(server),
+            "cut" => Self::Partition(server, detail()?),
             "heal" => Self::Heal(server, detail()?),
             "silence" => Self::Silence(server),
             "slow_fence" => {
                 let ms = detail()?.parse().map_err(|_| "slow_fence needs a number")?;
                 Self::SlowFence(server, ms)
             }
-            other => return Err(format!("no fault {other:?}")),
+            other => return Err(format!("unknown fault {other:?}")),
         })
     }
 
-    /// The server the fault is for.
     pub fn server(&self) -> usize {
         match self {
             Self::Kill(server)
@@ -69,8 +68,8 @@
             | Self::Freeze(server)
             | Self::Thaw(server)
             | Self::Isolate(server)
-            | Self::Join(server)
-            | Self::Cut(server, _)
+            | Self::Rejoin(server)
+            | Self::Partition(server, _)
             | Self::Heal(server, _)
             | Self::Silence(server)
             | Self::SlowFence(server, _) => *server,
@@ -78,47 +77,46 @@
     }
 }
 
-/// The faults in force between callers and servers.
+/// Active faults on the connections between callers and servers.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    cuts: Set<(usize, String)>,
-    slow_fence: Map<usize, u64>,
-    /// How often each server's connections were silenced; a connection from before the last
-    /// time stays silent.
-    silences: Map<usize, u64>,
+    partitions: Set<(usize, String)>,
+    fence_delays: Map<usize, u64>,
+    /// Number of `silence` faults per server. A connection opened before the most recent one gets no
+    /// answers.
+    silence_counts: Map<usize, u64>,
 }
 
 impl Faults {
-    /// Cuts or heals the way from callers in `dc` to `server`.
-    pub fn set_cut(&mut self, server: usize, dc: String, cut: bool) {
-        match cut {
-            true => self.cuts.insert((server, dc)),
-            false => self.cuts.remove(&(server, dc)),
+    /// Partitions `server` from callers in `dc`, or heals that partition.
+    pub fn set_partitioned(&mut self, server: usize, dc: String, partitioned: bool) {
+        match partitioned {
+            true => self.partitions.insert((server, dc)),
+            false => self.partitions.remove(&(server, dc)),
         };
     }
 
-    /// Whether callers in `dc` get no answer from `server`.
-    pub fn cut(&self, server: usize, dc: &str) -> bool {
-        self.cuts.contains(&(server, dc.to_owned()))
+    pub fn is_partitioned(&self, server: usize, dc: &str) -> bool {
+        self.partitions.contains(&(server, dc.to_owned()))
     }
 
-    /// Silences the connections `server` has now.
+    /// Stops answers on the open connections of `server`.
     pub fn silence(&mut self, server: usize) {
-        *self.silences.entry(server).or_default() += 1;
+        *self.silence_counts.entry(server).or_default() += 1;
     }
 
-    /// How often `server`'s connections were silenced.
-    pub fn silences(&self, server: usize) -> u64 {
-        self.silences.get(&server).copied().unwrap_or_default()
+    pub fn silence_count(&self, server: usize) -> u64 {
+        self.silence_counts
+            .get(&server)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// Delays the answer to a fence on `server`.
-    pub fn set_slow_fence(&mut self, server: usize, ms: u64) {
-        self.slow_fence.insert(server, ms);
+    pub fn set_fence_delay(&mut self, server: usize, ms: u64) {
+        self.fence_delays.insert(server, ms);
     }
 
-    /// How late `server` answers a fence, in milliseconds.
-    pub fn slow_fence(&self, server: usize) -> u64 {
-        self.slow_fence.get(&server).copied().unwrap_or_default()
+    pub fn fence_delay_ms(&self, server: usize) -> u64 {
+        self.fence_delays.get(&server).copied().unwrap_or_default()
     }
 }
--- a/crates/standin/src/group/incarnation.rs
+++ b/crates/standin/src/group/incarnation.rs
@@ -1,91 +1,91 @@
-//! The lives of one stand-in server: a kill ends one, a start begins the next.
+//! Incarnations of one server: a kill ends an incarnation, a start begins the next.
 
 use tokio::sync::watch;
 
-/// Whether the server is to run, how often it was killed, and whether it takes connections.
 #[derive(Clone, Copy, Debug)]
 struct State {
-    up: bool,
+    /// Requested state; `listening` follows it.
+    running: bool,
     kills: u64,
-    listens: bool,
+    listening: bool,
 }
 
-/// What kills and starts a server.
+/// Kills and starts a server and tracks its state.
 #[derive(Debug)]
-pub struct Switch(watch::Sender<State>);
+pub struct Lifecycle(watch::Sender<State>);
 
-impl Switch {
-    /// The switch of a server that runs.
+impl Lifecycle {
+    /// Creates the lifecycle of a running server.
     pub fn new() -> Self {
         let first = State {
-            up: true,
+            running: true,
             kills: 0,
-            listens: true,
+            listening: true,
         };
         Self(watch::channel(first).0)
     }
 
-    /// Ends the server's life, and everything that belongs to it.
+    /// Ends the current incarnation and with it the server's listener and connections.
     pub fn kill(&self) {
         self.0.send_modify(|state| {
-            state.up = false;
+            state.running = false;
             state.kills += 1;
         });
     }
 
-    /// Begins the next life.
+    /// Requests the start of the next incarnation.
     pub fn start(&self) {
-        self.0.send_modify(|state| state.up = true);
+        self.0.send_modify(|state| state.running = true);
     }
 
-    /// The server's life now.
-    pub fn life(&self) -> Life {
+    /// Returns a handle to the current incarnation.
+    pub fn incarnation(&self) -> Incarnation {
         let states = self.0.subscribe();
         let kills = states.borrow().kills;
-        Life { states, kills }
+        Incarnation { states, kills }
     }
 
-    /// Notes whether the server takes connections.
-    pub fn set_listens(&self, listens: bool) {
-        self.0.send_modify(|state| state.listens = listens);
+    /// Records whether the server accepts connections.
+    pub fn set_listening(&self, listening: bool) {
+        self.0.send_modify(|state| state.listening = listening);
     }
 
-    /// Waits until the server is to run.
-    pub async fn started(&self) {
-        let _ = self.0.subscribe().wait_for(|state| state.up).await;
+    /// Waits until a start has been requested.
+    pub async fn wait_started(&self) {
+        let _ = self.0.subscribe().wait_for(|state| state.running).await;
     }
 
-    /// Waits until a kill or start has come to its end: the server takes connections only if it
-    /// is to run.
-    pub async fn settled(&self) {
-        let settled = |state: &State| state.up == state.listens;
+    /// Waits until the last kill or start has completed, so that the server accepts connections if and
+    /// only if it is running.
+    pub async fn wait_settled(&self) {
+        let settled = |state: &State| state.running == state.listening;
         let _ = self.0.subscribe().wait_for(settled).await;
     }
 }
 
-/// One life of a server, held by what ends with it.
+/// Handle to one incarnation of a server, held by tasks that must end with it.
 ///
-/// Failure: a killed server is started again before a connection of its former life has noticed;
-/// seeing it up, the connection lives on. Guard: a life is told by the kills before it.
+/// The incarnation is identified by the number of kills before it, so a connection that sees only a
+/// kill followed quickly by a restart still ends.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct Incarnation {
     states: watch::Receiver<State>,
     kills: u64,
 }
 
-impl Life {
-    /// Whether the server was killed since.
-    pub fn over(&self) -> bool {
-        self.ends_in(&self.states.borrow())
+impl Incarnation {
+    /// Whether the server has been killed since this handle was taken.
+    pub fn has_ended(&self) -> bool {
+        self.ended_in(&self.states.borrow())
     }
 
     /// Waits until the server is killed.
-    pub async fn ended(&self) {
+    pub async fn wait_ended(&self) {
         let mut states = self.states.clone();
-        let _ = states.wait_for(|state| self.ends_in(state)).await;
+        let _ = states.wait_for(|state| self.ended_in(state)).await;
     }
 
-    fn ends_in(&self, state: &State) -> bool {
-        !state.up || state.kills != self.kills
+    fn ended_in(&self, state: &State) -> bool {
+        !state.running || state.kills != self.kills
     }
 }
--- a/crates/standin/src/group/sql.rs
+++ b/crates/standin/src/group/sql.rs
@@ -1,5 +1,5 @@
-//! What the stand-in server understands of SQL: a small `ledger (id, body)` table, transactions,
-//! its status and a few control calls. Statements are parsed by `sqlparser`.
+//! SQL subset of the fake database server: the table `ledger (id, body)`, transactions, session
+//! parameters, status queries and control functions. Statements are parsed by `sqlparser`.
 
 use sqlparser::{
     ast::{
@@ -12,39 +12,39 @@
 
 use super::{fault::Fault, state::Op};
 
-/// One statement, as the stand-in executes it.
+/// A parsed statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     Begin,
     Commit,
     Rollback,
-    /// A change of the ledger table.
+    /// A write to the ledger table.
     Write(Op),
-    /// Rows of the ledger table, all or the one with this id.
+    /// Selects the ledger row with this id, or all rows.
     Select(Option<String>),
-    /// A row of literal values, as `SELECT 1`.
+    /// Selects literal values, such as `SELECT 1`.
     Literal(Vec<String>),
-    /// `SHOW dandelionpitch.<name>`.
+    /// `SHOW name`: server state (`dandelionpitch.<name>`) or a session parameter.
     Show(String),
-    /// `SET name = value`: a value of this connection, shown by `SHOW name`.
+    /// `SET name = value`: sets a session parameter.
     Set(String, String),
-    /// `DISCARD ALL`: forget the values of this connection.
+    /// `DISCARD ALL`: clears the session parameters.
     Discard,
-    /// `SELECT dandelionpitch_barrier()`: the position, once replicas confirm the server leads.
+    /// `SELECT dandelionpitch_barrier()`: returns the position after replicas confirmed leadership.
     Barrier,
-    /// `SELECT dandelionpitch_fence(term)`: hold that term and take nothing from lower ones.
+    /// `SELECT dandelionpitch_fence(term)`: adopts the term and rejects entries of lower terms.
     Fence(u64),
-    /// `SELECT dandelionpitch_promote(term)`: become primary at that term.
+    /// `SELECT dandelionpitch_promote(term)`: becomes primary in that term.
     Promote(u64),
-    /// `SELECT dandelionpitch_fault(kind, server[, detail])`: an experiment's fault.
+    /// `SELECT dandelionpitch_fault(kind, server[, detail])`: injects a fault.
     Fault(Fault),
-    /// `SELECT dandelionpitch_lag(ms)`: apply the primary's log this much later.
+    /// `SELECT dandelionpitch_lag(ms)`: sets the server's replication lag.
     Lag(u64),
-    /// `SELECT dandelionpitch_sleep(ms)`: wait that many milliseconds, to stand for a slow statement.
+    /// `SELECT dandelionpitch_sleep(ms)`: simulates a slow statement.
     Sleep(u64),
 }
 
-/// Parses one query string into commands, or says why not.
+/// Parses the statements of a query string, or returns the reason it is invalid or unsupported.
 pub fn parse(text: &str) -> Result<Vec<Command>, String> {
     let statements =
         Parser::parse_sql(&PostgreSqlDialect {}, text).map_err(|error| error.to_string())?;
@@ -63,7 +63,7 @@
             ..
         } => update_op(assignments, selection.as_ref()),
         Statement::Delete(delete) => {
-            let id = key(delete.selection.as_ref()).ok_or("DELETE needs WHERE id = ...")?;
+            let id = where_id(delete.selection.as_ref()).ok_or("DELETE needs WHERE id = ...")?;
             Ok(Command::Write(Op::Delete { id }))
         }
         Statement::Query(query) => select(query),
@@ -81,7 +81,7 @@
             let name: Vec<String> = variable.iter().map(|part| part.value.clone()).collect();
             Ok(Command::Show(name.join(".")))
         }
-        other => Err(format!("the stand-in does not run: {other}")),
+        other => Err(format!("statement not supported by the stand-in: {other}")),
     }
 }
 
@@ -106,8 +106,8 @@
     }
 }
 
-/// The id of a `WHERE id = <literal>` clause.
-fn key(selection: Option<&Expr>) -> Option<String> {
+/// Returns the id in a `WHERE id = <literal>` clause.
+fn where_id(selection: Option<&Expr>) -> Option<String> {
     let Expr::BinaryOp {
         left,
         op: BinaryOperator::Eq,
@@ -136,7 +136,7 @@
         match column {
             "id" => id = literal(expr),
             "body" => body = literal(expr),
-            other => return Err(format!("no column {other}")),
+            other => return Err(format!("column {other} does not exist")),
         }
     }
     Ok(Command::Write(Op::Insert {
@@ -146,7 +146,7 @@
 }
 
 fn update_op(assignments: &[Assignment], selection: Option<&Expr>) -> Result<Command, String> {
-    let id = key(selection).ok_or("UPDATE needs WHERE id = ...")?;
+    let id = where_id(selection).ok_or("UPDATE needs WHERE id = ...")?;
     let body = assignments
         .iter()
         .find(|a| matches!(&a.target, AssignmentTarget::ColumnName(name) if name.to_string() == "body"))
@@ -157,26 +157,26 @@
 
 fn select(query: &Query) -> Result<Command, String> {
     let SetExpr::Select(select) = query.body.as_ref() else {
-        return Err("only plain SELECT runs here".to_owned());
+        return Err("only a plain SELECT is supported".to_owned());
     };
     if !select.from.is_empty() {
-        return Ok(Command::Select(key(select.selection.as_ref())));
+        return Ok(Command::Select(where_id(select.selection.as_ref())));
     }
     let mut values = Vec::new();
     for item in &select.projection {
         let SelectItem::UnnamedExpr(expr) = item else {
-            return Err("only plain values can be selected without FROM".to_owned());
+            return Err("only literals can be selected without FROM".to_owned());
         };
-        if let Some(command) = call(expr)? {
+        if let Some(command) = control_call(expr)? {
             return Ok(command);
         }
-        values.push(literal(expr).ok_or("only plain values can be selected without FROM")?);
+        values.push(literal(expr).ok_or("only literals can be selected without FROM")?);
     }
     Ok(Command::Literal(values))
 }
 
-/// A control call such as `dandelionpitch_promote(2)`, or `None` for any other expression.
-fn call(expr: &Expr) -> Result<Option<Command>, String> {
+/// Parses a control function call such as `dandelionpitch_promote(2)`; `None` for other expressions.
+fn control_call(expr: &Expr) -> Result<Option<Command>, String> {
     let Expr::Function(function) = expr else {
         return Ok(None);
     };
--- a/crates/standin/src/group/state.rs
+++ b/crates/standin/src/group/state.rs
@@ -1,9 +1,9 @@
-//! The replicated state of a stand-in group: each server's role, term, log and table.
+//! The replicated state of a group: each server's role, term, log and table.
 //!
-//! The primary hands each new entry to the replicas it reaches, which receive it at once and
-//! apply it after their lag. A commit is acknowledged once `sync` replicas have received it,
-//! as with PostgreSQL's `synchronous_standby_names = 'ANY 1 (...)'`. A server that holds a
-//! term refuses entries of any lower one.
+//! The primary sends each new entry to its reachable replicas, which receive it immediately and
+//! apply it after their lag. A commit is acknowledged once `sync_replicas` replicas have received
+//! it, as with PostgreSQL's `synchronous_standby_names = 'ANY 1 (...)'`. A server rejects entries
+//! from primaries of a lower term than its own.
 
 mod server;
 
@@ -13,10 +13,10 @@
 
 use self::server::Server;
 
-/// A superseded primary goes on leading until this long after it can reach its successor.
-const STEP_DOWN_AFTER: Duration = Duration::from_secs(1);
+/// Time a primary keeps its role after it first reaches a primary of a higher term.
+const STEP_DOWN_DELAY: Duration = Duration::from_secs(1);
 
-/// A change of the ledger table.
+/// A write to the ledger table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
     Insert { id: String, body: String },
@@ -25,7 +25,7 @@
 }
 
 impl Op {
-    /// The id of the row this changes.
+    /// The id of the affected row.
     pub fn id(&self) -> &str {
         match self {
             Self::Insert { id, .. } | Self::Update { id, .. } | Self::Delete { id } => id,
@@ -38,10 +38,10 @@
 pub struct Entry {
     pub position: Position,
     pub ops: Vec<Op>,
-    at: Instant,
+    created_at: Instant,
 }
 
-/// Whether a server believes it leads.
+/// The role a server believes it has; more than one server may believe it is the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Primary,
@@ -49,7 +49,7 @@
 }
 
 impl Role {
-    /// The name used in status answers.
+    /// The role's name in status rows.
     pub fn name(self) -> &'static str {
         match self {
             Self::Primary => "primary",
@@ -58,24 +58,24 @@
     }
 }
 
-/// Why a write was refused; each maps to a PostgreSQL error code.
+/// Reason a write failed; each maps to a PostgreSQL SQLSTATE.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum WriteError {
     /// The server is a replica (SQLSTATE 25006).
     ReadOnly,
-    /// An insert of an id that exists (SQLSTATE 23505).
+    /// The inserted id already exists (SQLSTATE 23505).
     Duplicate(String),
 }
 
-/// How far a commit or a confirmation of leadership has come.
+/// Replication progress of a commit or of a leadership confirmation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Enough replicas have it.
-    Done,
-    /// Not enough replicas have it yet.
-    Waiting,
-    /// The server no longer leads in that term; it will never be acknowledged.
-    Lost,
+    /// Acknowledged by at least `sync_replicas` replicas.
+    Complete,
+    /// Not yet acknowledged by `sync_replicas` replicas.
+    Pending,
+    /// The server is no longer primary in that term, so the operation cannot complete.
+    LeadershipLost,
 }
 
 /// The status a server reports on `SHOW dandelionpitch.status`.
@@ -85,27 +85,27 @@
     pub role: Role,
     /// The highest term the server has accepted.
     pub term: u64,
-    /// Which log it has.
-    pub log: u64,
-    /// The last entry in its table.
+    /// Identifies the server's log; changes when the log is lost.
+    pub log_id: u64,
+    /// Position of the last applied entry.
     pub position: Position,
-    /// At most how old its table is.
+    /// Upper bound on the staleness of the server's table.
     pub lag: Duration,
-    /// How long since it last heard from a primary.
-    pub silent: Duration,
+    /// Time since the last contact from a primary; zero on a primary.
+    pub since_primary_contact: Duration,
 }
 
-/// All servers of one group, behind one lock.
+/// All servers of one group.
 #[derive(Debug)]
 pub struct Group {
     servers: Vec<Server>,
-    sync: usize,
+    sync_replicas: usize,
 }
 
 impl Group {
-    /// `count` servers, the first primary at term 1; each replica applies after `lag`, and a
-    /// commit needs `sync` replicas.
-    pub fn new(count: usize, lag: Duration, sync: usize) -> Self {
+    /// Creates `count` servers, the first of them primary in term 1. Replicas apply entries after
+    /// `lag`; a commit needs `sync_replicas` replicas.
+    pub fn new(count: usize, lag: Duration, sync_replicas: usize) -> Self {
         let now = Instant::now();
         let servers = (0..count)
             .map(|index| match index {
@@ -113,56 +113,60 @@
                 _ => Server::new(Role::Replica, lag, now),
             })
             .collect();
-        Self { servers, sync }
+        Self {
+            servers,
+            sync_replicas,
+        }
     }
 
-    /// Commits `ops` on `server` as one log entry; [`Group::progress`] tells when it may be
-    /// acknowledged.
-    pub fn commit(&mut self, server: usize, ops: Vec<Op>) -> Result<Position, Refusal> {
+    /// Appends `ops` to the log of `server` as one entry. The commit may be acknowledged once
+    /// [`Group::commit_progress`] returns [`Progress::Complete`].
+    pub fn commit(&mut self, server: usize, ops: Vec<Op>) -> Result<Position, WriteError> {
         let target = &mut self.servers[server];
         if target.role != Role::Primary {
-            return Err(Refusal::ReadOnly);
+            return Err(WriteError::ReadOnly);
         }
         for op in &ops {
             if let Op::Insert { id, .. } = op {
                 if target.table.contains_key(id) {
-                    return Err(Refusal::Duplicate(id.clone()));
+                    return Err(WriteError::Duplicate(id.clone()));
                 }
             }
         }
         let position = target.append(ops);
         target.apply_all();
-        self.deliver(server, Instant::now());
+        self.replicate_from(server, Instant::now());
         Ok(position)
     }
 
-    /// Whether enough replicas hold the entry at `position`, committed on `server`.
-    pub fn progress(&mut self, server: usize, position: Position) -> Progress {
+    /// Replication progress of the entry at `position`, committed on `server`.
+    pub fn commit_progress(&mut self, server: usize, position: Position) -> Progress {
         let leader = &self.servers[server];
         if leader.role != Role::Primary || leader.term != position.term {
-            return Progress::Lost;
+            return Progress::LeadershipLost;
         }
         let holders = (0..self.servers.len())
-            .filter(|&index| index != server && self.servers[index].holds(position))
+            .filter(|&index| index != server && self.servers[index].has_entry(position))
             .count();
-        match holders >= self.sync {
-            true => Progress::Done,
-            false => Progress::Waiting,
+        match holders >= self.sync_replicas {
+            true => Progress::Complete,
+            false => Progress::Pending,
         }
     }
 
-    /// Whether `server` leads right now: enough replicas accept it as their primary.
-    pub fn confirm(&mut self, server: usize) -> Progress {
+    /// Whether `server` is currently primary, confirmed by `sync_replicas` replicas that accept its
+    /// term.
+    pub fn confirm_leadership(&mut self, server: usize) -> Progress {
         if self.servers[server].role != Role::Primary {
-            return Progress::Lost;
+            return Progress::LeadershipLost;
         }
-        match self.deliver(server, Instant::now()) >= self.sync {
-            true => Progress::Done,
-            false => Progress::Waiting,
+        match self.replicate_from(server, Instant::now()) >= self.sync_replicas {
+            true => Progress::Complete,
+            false => Progress::Pending,
         }
     }
 
-    /// The rows of `server`'s table, all or the one with `id`.
+    /// The row of `server`'s table with `id`, or all rows.
     pub fn select(&self, server: usize, id: Option<&str>) -> Vec<(String, String)> {
         let table = &self.servers[server].table;
         match id {
@@ -175,35 +179,33 @@
         }
     }
 
-    /// The entries in `server`'s log.
     pub fn log(&self, server: usize) -> &[Entry] {
         &self.servers[server].log
     }
 
-    /// The status of `server`.
     pub fn status(&self, server: usize, now: Instant) -> Status {
         let this = &self.servers[server];
-        let silent = match this.role {
+        let since_primary_contact = match this.role {
             Role::Primary => Duration::ZERO,
-            Role::Replica => now.duration_since(this.heard_at),
+            Role::Replica => now.duration_since(this.primary_contact_at),
         };
-        let waiting = this
+        let oldest_pending_age = this
             .log
             .get(this.applied)
-            .map_or(Duration::ZERO, |entry| now.duration_since(entry.at));
+            .map_or(Duration::ZERO, |entry| now.duration_since(entry.created_at));
         Status {
             server,
             role: this.role,
             term: this.term,
-            log: this.log_number,
-            position: this.position(),
-            lag: silent.max(waiting),
-            silent,
+            log_id: this.log_id,
+            position: this.applied_position(),
+            lag: since_primary_contact.max(oldest_pending_age),
+            since_primary_contact,
         }
     }
 
-    /// Makes `server` hold `term`: it takes nothing from a primary of a lower term any more,
-    /// and steps down if it is one. Returns the last position it has received.
+    /// Raises the term of `server` to `term`: it rejects entries from primaries of lower terms, and
+    /// steps down if it is primary. Returns the last received position.
     pub fn fence(&mut self, server: usize, term: u64) -> Result<Position, String> {
         let target = &mut self.servers[server];
         if term < target.term || (term == target.term && target.role == Role::Primary) {
@@ -211,14 +213,15 @@
         }
         target.term = term;
         target.step_down();
-        Ok(target.received())
+        Ok(target.received_position())
     }
 
-    /// Makes `server` primary at `term` with what it has received; refused below its term.
+    /// Makes `server` primary in `term` with the entries it has received. Returns its position, or an
+    /// error if its term is higher or it is already primary in another term.
     pub fn promote(&mut self, server: usize, term: u64) -> Result<Position, String> {
         let target = &mut self.servers[server];
         if target.role == Role::Primary && target.term == term {
-            return Ok(target.position());
+            return Ok(target.applied_position());
         }
         if term < target.term || target.role == Role::Primary {
             return Err(format!("term {term} is not above {}", target.term));
@@ -230,99 +233,97 @@
         Ok(position)
     }
 
-    /// Sets how late `server` applies what it receives.
     pub fn set_lag(&mut self, server: usize, lag: Duration) {
         self.servers[server].lag = lag;
     }
 
-    /// Stops or starts `server`. It comes back with its log, as a replica if another server
-    /// was promoted meanwhile.
-    pub fn set_up(&mut self, server: usize, up: bool) {
-        let top = self.servers.iter().map(|other| other.term).max();
+    /// Stops or starts `server`. It restarts with its log, and as a replica if another server has a
+    /// higher term.
+    pub fn set_running(&mut self, server: usize, running: bool) {
+        let highest_term = self.servers.iter().map(|other| other.term).max();
         let target = &mut self.servers[server];
-        target.up = up;
-        if up && top.is_some_and(|top| top > target.term) {
+        target.running = running;
+        if running && highest_term.is_some_and(|highest_term| highest_term > target.term) {
             target.step_down();
         }
     }
 
-    /// Leaves `server` with the first entry and nothing else, as a replica of the first term.
+    /// Resets `server` to a replica in term 1 whose log has only the initial entry.
     pub fn wipe(&mut self, server: usize) {
         let target = &mut self.servers[server];
         *target = Server {
-            up: target.up,
+            running: target.running,
             isolated: target.isolated,
-            log_number: target.log_number + 1,
+            log_id: target.log_id + 1,
             ..Server::new(Role::Replica, target.lag, Instant::now())
         };
     }
 
-    /// Freezes or thaws `server`: it neither answers nor replicates while frozen.
+    /// Freezes or thaws `server`. A frozen server neither answers nor replicates.
     pub fn set_frozen(&mut self, server: usize, frozen: bool) {
         self.servers[server].frozen = frozen;
     }
 
-    /// Whether `server` is frozen.
-    pub fn frozen(&self, server: usize) -> bool {
+    pub fn is_frozen(&self, server: usize) -> bool {
         self.servers[server].frozen
     }
 
-    /// Cuts `server` off from the other servers, or joins it again.
+    /// Partitions `server` from the other servers, or ends that partition.
     pub fn set_isolated(&mut self, server: usize, isolated: bool) {
         self.servers[server].isolated = isolated;
     }
 
-    /// Lets every primary reach its replicas, and every replica apply what is due.
+    /// Replicates from every primary, and applies on every server the entries older than its lag.
     pub fn replicate(&mut self, now: Instant) {
         for leader in 0..self.servers.len() {
-            if self.servers[leader].role == Role::Primary && self.servers[leader].up {
-                self.deliver(leader, now);
+            if self.servers[leader].role == Role::Primary && self.servers[leader].running {
+                self.replicate_from(leader, now);
             }
         }
-        for server in self.servers.iter_mut().filter(|s| s.up && !s.frozen) {
+        for server in self.servers.iter_mut().filter(|s| s.running && !s.frozen) {
             while server
                 .log
                 .get(server.applied)
-                .is_some_and(|entry| entry.at + server.lag <= now)
+                .is_some_and(|entry| entry.created_at + server.lag <= now)
             {
                 server.apply_next();
             }
         }
     }
 
-    /// Hands `leader`'s log to every server that it reaches and that accepts its term;
-    /// returns how many did.
-    fn deliver(&mut self, leader: usize, now: Instant) -> usize {
-        if !self.servers[leader].reachable() {
+    /// Copies `leader`'s log to every reachable server that accepts its term, and returns the number
+    /// of these servers. Steps `leader` down if it has been superseded for [`STEP_DOWN_DELAY`].
+    fn replicate_from(&mut self, leader: usize, now: Instant) -> usize {
+        if !self.servers[leader].is_reachable() {
             return 0;
         }
         let log = std::mem::take(&mut self.servers[leader].log);
         let term = self.servers[leader].term;
         let mut accepted = 0;
-        let mut outranked = false;
+        let mut superseded = false;
         for (index, server) in self.servers.iter_mut().enumerate() {
-            if index == leader || !server.reachable() {
+            if index == leader || !server.is_reachable() {
                 continue;
             }
             if server.term > term {
-                outranked |= server.role == Role::Primary;
+                superseded |= server.role == Role::Primary;
                 continue;
             }
             if server.role == Role::Primary {
                 continue;
             }
-            let common = server.common(&log);
-            server.rewind(common);
-            server.log.extend_from_slice(&log[common..]);
+            let common_len = server.common_prefix_len(&log);
+            server.truncate_log(common_len);
+            server.log.extend_from_slice(&log[common_len..]);
             server.term = term;
-            server.heard_at = now;
+            server.primary_contact_at = now;
             accepted += 1;
         }
         let this = &mut self.servers[leader];
         this.log = log;
-        match (outranked, this.outranked_at) {
-            (true, None) => this.outranked_at = Some(now),
-            (true, Some(since)) if now.duration_since(since) >= STEP_DOWN_AFTER => this.step_down(),
+        match (superseded, this.superseded_at) {
+            (true, None) => this.superseded_at = Some(now),
+            (true, Some(since)) if now.duration_since(since) >= STEP_DOWN_DELAY => this.step_down(),
             _ => {}
         }
         accepted
--- a/crates/standin/src/group/state/server.rs
+++ b/crates/standin/src/group/state/server.rs
@@ -1,4 +1,4 @@
-//! One server of a stand-in group: its log, its table and its faults.
+//! One server of a group: its log, its table and its faults.
 
 use std::{
     collections::BTreeMap,
@@ -9,91 +9,95 @@
 
 use super::{Entry, Op, Role};
 
-/// One server: what it has received, what of it is applied, and what is done to it.
+/// State of one server.
 #[derive(Debug)]
 pub struct Server {
     pub role: Role,
     pub term: u64,
-    /// Which log it has: another one after it was lost.
-    pub log_number: u64,
-    /// Everything received; the first `applied` entries are in the table.
+    /// Identifies the log; incremented when the log is wiped.
+    pub log_id: u64,
+    /// Received entries; the first `applied` of them are in the table.
     pub log: Vec<Entry>,
     pub applied: usize,
     pub table: BTreeMap<String, String>,
     pub lag: Duration,
-    pub heard_at: Instant,
-    /// When this primary first reached a server of a later term.
-    pub outranked_at: Option<Instant>,
-    pub up: bool,
+    pub primary_contact_at: Instant,
+    /// When this primary first reached a primary of a higher term.
+    pub superseded_at: Option<Instant>,
+    pub running: bool,
     pub frozen: bool,
     pub isolated: bool,
 }
 
 impl Server {
-    /// A server that has the first entry and nothing else.
+    /// Creates a server in term 1 whose log has only the initial entry.
     pub fn new(role: Role, lag: Duration, now: Instant) -> Self {
         let first = Entry {
             position: Position { term: 1, lsn: 1 },
             ops: Vec::new(),
-            at: now,
+            created_at: now,
         };
         Self {
             role,
             term: 1,
-            log_number: 0,
+            log_id: 0,
             log: vec![first],
             applied: 1,
             table: BTreeMap::new(),
             lag,
-            heard_at: now,
-            outranked_at: None,
-            up: true,
+            primary_contact_at: now,
+            superseded_at: None,
+            running: true,
             frozen: false,
             isolated: false,
         }
     }
 
-    /// The end of its log.
-    pub fn received(&self) -> Position {
+    /// Position of the last entry in the log.
+    pub fn received_position(&self) -> Position {
         self.log
             .last()
             .map_or_else(Position::default, |entry| entry.position)
     }
 
-    /// The last entry in its table.
-    pub fn position(&self) -> Position {
+    /// Position of the last applied entry.
+    pub fn applied_position(&self) -> Position {
         match self.applied {
             0 => Position::default(),
             count => self.log[count - 1].position,
         }
     }
 
-    /// Whether the entry at `position` is in the log; numbers start at 1 without gaps.
-    pub fn holds(&self, position: Position) -> bool {
+    /// Whether the log has the entry at `position`. Log positions start at 1 and have no gaps.
+    pub fn has_entry(&self, position: Position) -> bool {
         self.log
             .get(position.lsn as usize - 1)
             .is_some_and(|entry| entry.position == position)
     }
 
-    /// Adds an entry of its own term.
+    /// Appends an entry in the server's term and returns its position.
     pub fn append(&mut self, ops: Vec<Op>) -> Position {
         let position = Position {
             term: self.term,
-            lsn: self.received().lsn + 1,
+            lsn: self.received_position().lsn + 1,
         };
-        let at = Instant::now();
-        self.log.push(Entry { position, ops, at });
+        let created_at = Instant::now();
+        self.log.push(Entry {
+            position,
+            ops,
+            created_at,
+        });
         position
     }
 
-    /// Brings the whole log into the table.
+    /// Applies all unapplied entries.
     pub fn apply_all(&mut self) {
         while self.applied < self.log.len() {
             self.apply_next();
         }
     }
 
-    /// Brings the next entry into the table.
+    /// Applies the first unapplied entry.
     pub fn apply_next(&mut self) {
         for op in &self.log[self.applied].ops {
             match op {
@@ -108,8 +112,9 @@
         self.applied += 1;
     }
 
-    /// Drops the entries from `keep` on, and rebuilds the table if any was applied.
-    pub fn rewind(&mut self, keep: usize) {
+    /// Truncates the log to its first `keep` entries, and rebuilds the table if any removed entry was
+    /// applied.
+    pub fn truncate_log(&mut self, keep: usize) {
         self.log.truncate(keep);
         if self.applied > keep {
             self.applied = 0;
@@ -120,8 +125,8 @@
         }
     }
 
-    /// How many leading entries of this log are the same as in `other`.
-    pub fn common(&self, other: &[Entry]) -> usize {
+    /// Number of entries in the common prefix of this log and `other`.
+    pub fn common_prefix_len(&self, other: &[Entry]) -> usize {
         let mut count = self.log.len().min(other.len());
         while count > 0 && self.log[count - 1].position != other[count - 1].position {
             count -= 1;
@@ -129,14 +134,14 @@
         count
     }
 
-    /// Whether others can reach it.
-    pub fn reachable(&self) -> bool {
-        self.up && !self.frozen && !self.isolated
+    /// Whether other servers of the group can reach this one.
+    pub fn is_reachable(&self) -> bool {
+        self.running && !self.frozen && !self.isolated
     }
 
-    /// Stops leading.
+    /// Becomes a replica.
     pub fn step_down(&mut self) {
         self.role = Role::Replica;
-        self.outranked_at = None;
+        self.superseded_at = None;
     }
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -106,8 +106,8 @@
             let settings = group::Settings {
                 servers: servers.max(1),
                 lag: Duration::from_millis(lag_ms),
-                sync,
-                promote: Duration::from_millis(promote_ms),
+                sync_replicas: sync,
+                promotion_delay: Duration::from_millis(promote_ms),
             };
             let outcome = group::serve(host, settings).await;
             outcome.map_err(|error| error.to_string())
