--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,5 +1,5 @@
-//! The stand-in of the platform KV: the etcd v3 JSON gateway's calls on `rocket`, with fault
-//! hooks (down, slow, answer lost after the write applied).
+//! Fake platform KV: the calls of the etcd v3 JSON gateway that dandelionpitch uses, served with
+//! `rocket`, with injectable faults.
 
 mod routes;
 mod store;
@@ -16,90 +16,87 @@
 
 pub use store::Store;
 
-/// How often expired leases are swept.
-const SWEEP_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which leases are expired and snapshots taken.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Faults an experiment can switch on through `POST /fault`.
+/// Faults of one server, set by tests through `POST /fault`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Every call answers 503 and changes nothing.
+    /// Every KV call fails with 503 and has no effect.
     #[serde(default)]
     pub down: bool,
-    /// Every call waits this long first.
+    /// Delay before each KV call is processed.
     #[serde(default)]
     pub delay_ms: u64,
-    /// Writes take effect but their answer is an error, as when an answer is lost.
+    /// Writes are applied but answered with 500, as if the response were lost.
     #[serde(default)]
     pub lose_answer: bool,
 }
 
-/// One address of the stand-in: the store all doors share, and the faults at this door.
+/// State of one HTTP server: the store, shared by all servers, and the server's own faults.
 #[derive(Clone, Debug)]
 pub struct State {
-    /// Keys, leases and watches.
     pub store: Arc<Mutex<Store>>,
-    /// The faults in force.
     pub fault: Arc<Mutex<Fault>>,
 }
 
-/// Serves the stand-in KV on `doors` addresses, the first being `address`, until the process
-/// ends; prints their URLs on stdout, separated by commas.
-pub async fn serve(address: SocketAddr, doors: usize) -> Result<(), rocket::Error> {
+/// Serves one store through `servers` HTTP servers, the first of them on `addr`, until the process
+/// ends. Prints their URLs on stdout, separated by commas.
+pub async fn serve(addr: SocketAddr, servers: usize) -> Result<(), rocket::Error> {
     let store = Arc::new(Mutex::new(Store::new()));
-    let mut ready = Vec::with_capacity(doors);
-    for index in 0..doors {
+    let mut ready = Vec::with_capacity(servers);
+    for index in 0..servers {
         let state = State {
             store: store.clone(),
             fault: Arc::new(Mutex::new(Fault::default())),
         };
         let port = match index {
-            0 => address.port(),
+            0 => addr.port(),
             _ => 0,
         };
-        ready.push(rocket(SocketAddr::new(address.ip(), port), state));
+        ready.push(rocket(SocketAddr::new(addr.ip(), port), state));
     }
-    let mut urls = Vec::with_capacity(doors);
-    let mut running = Vec::with_capacity(doors);
-    for (door, url) in ignite(ready).await? {
-        running.push(tokio::spawn(door.launch()));
+    let mut urls = Vec::with_capacity(servers);
+    let mut running = Vec::with_capacity(servers);
+    for (server, url) in ignite(ready).await? {
+        running.push(tokio::spawn(server.launch()));
         urls.extend(url.await);
     }
     crate::announce(&urls.join(","));
-    tokio::spawn(sweep(store));
-    for door in running {
-        door.await.expect("a door does not panic")?;
+    tokio::spawn(maintain(store));
+    for server in running {
+        server.await.expect("server task does not panic")?;
     }
     Ok(())
 }
 
-/// Readies every door before the first is launched.
+/// Ignites all servers before the first is launched.
 ///
-/// Failure: making a Rocket switches the process's log level on until that Rocket is
-/// ignited; a door launched meanwhile prints a line where the addresses are expected. Guard:
-/// no door is made or ignited once one is launched.
+/// Building a Rocket enables logging for the whole process until that Rocket is ignited. A server
+/// launched in between would log to stdout, where callers expect the URLs.
 async fn ignite(
-    doors: Vec<Door<rocket::Build>>,
-) -> Result<Vec<Door<rocket::Ignite>>, rocket::Error> {
-    let mut ignited = Vec::with_capacity(doors.len());
-    for (door, url) in doors {
-        ignited.push((door.ignite().await?, url));
+    servers: Vec<Server<rocket::Build>>,
+) -> Result<Vec<Server<rocket::Ignite>>, rocket::Error> {
+    let mut ignited = Vec::with_capacity(servers.len());
+    for (server, url) in servers {
+        ignited.push((server.ignite().await?, url));
     }
     Ok(ignited)
 }
 
-/// A server on its way, and where it will say its URL.
-type Door<P> = (rocket::Rocket<P>, oneshot::Receiver<String>);
+/// A server before launch, and the receiver of its URL.
+type Server<P> = (rocket::Rocket<P>, oneshot::Receiver<String>);
 
-fn rocket(address: SocketAddr, state: State) -> Door<rocket::Build> {
+fn rocket(addr: SocketAddr, state: State) -> Server<rocket::Build> {
     let (bound, url) = oneshot::channel();
     let figment = rocket::Config::figment()
-        .merge(("address", address.ip()))
-        .merge(("port", address.port()))
+        .merge(("address", addr.ip()))
+        .merge(("port", addr.port()))
         .merge(("log_level", "off"))
         .merge(("shutdown.ctrlc", false));
     let bound = Mutex::new(Some(bound));
-    let door = rocket::custom(figment)
+    let server = rocket::custom(figment)
         .manage(state)
         .mount("/", routes::all())
         .attach(rocket::fairing::AdHoc::on_response(
@@ -120,14 +117,14 @@
             }
             Box::pin(async {})
         }));
-    (door, url)
+    (server, url)
 }
 
-async fn sweep(store: Arc<Mutex<Store>>) {
+async fn maintain(store: Arc<Mutex<Store>>) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         let mut store = store.lock().unwrap();
-        store.expire(Instant::now());
-        store.copy(Instant::now());
+        store.expire_leases(Instant::now());
+        store.snapshot(Instant::now());
     }
 }
--- a/crates/standin/src/kv/routes.rs
+++ b/crates/standin/src/kv/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP routes of the stand-in KV.
+//! HTTP routes of the fake KV.
 
 use std::time::Duration;
 
@@ -19,15 +19,15 @@
 use super::{Fault, State};
 
 type Shared = Managed<State>;
-type Answer<T> = Result<Json<T>, Status>;
+type Response<T> = Result<Json<T>, Status>;
 
-/// Every route of the stand-in.
+/// All routes: the KV's calls and the tests' calls for fault injection.
 pub fn all() -> Vec<Route> {
     routes![range, put, txn, grant, keepalive, watch, fault, expire, restore]
 }
 
-/// Applies the delay and the outage switch; returns the faults in force.
-async fn enter(state: &State) -> Result<Fault, Status> {
+/// Applies the delay and the outage, and returns the active faults.
+async fn apply_faults(state: &State) -> Result<Fault, Status> {
     let fault = *state.fault.lock().unwrap();
     if fault.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(fault.delay_ms)).await;
@@ -38,11 +38,11 @@
     }
 }
 
-/// The answer of a write, unless the fault says the answer is lost.
-fn answer_write<T>(fault: Fault, answer: T) -> Answer<T> {
+/// Returns the response to a write, or an error if the fault loses responses.
+fn write_response<T>(fault: Fault, response: T) -> Response<T> {
     match fault.lose_answer {
         true => Err(Status::InternalServerError),
-        false => Ok(Json(answer)),
+        false => Ok(Json(response)),
     }
 }
 
@@ -50,16 +50,16 @@
     Header { revision }
 }
 
-fn text(bytes: Vec<u8>) -> Result<String, Status> {
+fn utf8(bytes: Vec<u8>) -> Result<String, Status> {
     String::from_utf8(bytes).map_err(|_| Status::BadRequest)
 }
 
 #[post("/v3/kv/range", data = "<request>")]
-async fn range(state: &Shared, request: Json<RangeRequest>) -> Answer<RangeResponse> {
-    enter(state).await?;
+async fn range(state: &Shared, request: Json<RangeRequest>) -> Response<RangeResponse> {
+    apply_faults(state).await?;
     let (start, end) = request.bounds().map_err(|_| Status::BadRequest)?;
-    let start = text(start)?;
-    let end = end.map(text).transpose()?;
+    let start = utf8(start)?;
+    let end = end.map(utf8).transpose()?;
     let store = state.store.lock().unwrap();
     let kvs = store.range(&start, end.as_deref());
     Ok(Json(RangeResponse {
@@ -77,10 +77,10 @@
 }
 
 #[post("/v3/kv/put", data = "<request>")]
-async fn put(state: &Shared, request: Json<PutRequest>) -> Answer<PutResponse> {
-    let fault = enter(state).await?;
+async fn put(state: &Shared, request: Json<PutRequest>) -> Response<PutResponse> {
+    let fault = apply_faults(state).await?;
     let revision = apply_put(state, &request)?;
-    answer_write(
+    write_response(
         fault,
         PutResponse {
             header: header(revision),
@@ -89,8 +89,8 @@
 }
 
 #[post("/v3/kv/txn", data = "<request>")]
-async fn txn(state: &Shared, request: Json<TxnRequest>) -> Answer<TxnResponse> {
-    let fault = enter(state).await?;
+async fn txn(state: &Shared, request: Json<TxnRequest>) -> Response<TxnResponse> {
+    let fault = apply_faults(state).await?;
     let mut store = state.store.lock().unwrap();
     let mut succeeded = true;
     for compare in &request.compare {
@@ -99,7 +99,7 @@
             range_end: String::new(),
         };
         let (key, _) = key.bounds().map_err(|_| Status::BadRequest)?;
-        let key = text(key)?;
+        let key = utf8(key)?;
         if compare.target != "MOD" || compare.result != "EQUAL" {
             return Err(Status::BadRequest);
         }
@@ -117,7 +117,7 @@
     }
     let revision = store.revision();
     drop(store);
-    answer_write(
+    write_response(
         fault,
         TxnResponse {
             header: header(revision),
@@ -127,13 +127,13 @@
 }
 
 #[post("/v3/lease/grant", data = "<request>")]
-async fn grant(state: &Shared, request: Json<LeaseGrantRequest>) -> Answer<LeaseGrantResponse> {
-    let fault = enter(state).await?;
+async fn grant(state: &Shared, request: Json<LeaseGrantRequest>) -> Response<LeaseGrantResponse> {
+    let fault = apply_faults(state).await?;
     let mut store = state.store.lock().unwrap();
     let id = store.grant(request.ttl);
     let revision = store.revision();
     drop(store);
-    answer_write(
+    write_response(
         fault,
         LeaseGrantResponse {
             header: header(revision),
@@ -147,10 +147,10 @@
 async fn keepalive(
     state: &Shared,
     request: Json<LeaseKeepAliveRequest>,
-) -> Answer<LeaseKeepAliveResponse> {
-    let fault = enter(state).await?;
+) -> Response<LeaseKeepAliveResponse> {
+    let fault = apply_faults(state).await?;
     let ttl = state.store.lock().unwrap().keepalive(request.id);
-    answer_write(
+    write_response(
         fault,
         LeaseKeepAliveResponse {
             result: LeaseKeepAliveResult {
@@ -161,20 +161,20 @@
     )
 }
 
-fn line(revision: u64, events: Vec<WireEvent>) -> String {
-    let answer = WatchResponse {
+fn watch_line(revision: u64, events: Vec<WireEvent>) -> String {
+    let response = WatchResponse {
         result: WatchResult {
             header: header(revision),
             events,
         },
     };
-    let mut text = serde_json::to_string(&answer).unwrap_or_default();
+    let mut text = serde_json::to_string(&response).unwrap_or_default();
     text.push('\n');
     text
 }
 
-/// Whether `key` lies in a request's bounds.
-fn within(key: &str, start: &str, end: Option<&str>) -> bool {
+/// Whether `key` is equal to `start` or, if there is an `end`, in `start..end`.
+fn in_range(key: &str, start: &str, end: Option<&str>) -> bool {
     match end {
         None => key == start,
         Some(end) => key >= start && key < end,
@@ -183,48 +183,48 @@
 
 #[post("/v3/watch", data = "<request>")]
 async fn watch(state: &Shared, request: Json<WatchRequest>) -> Result<TextStream![String], Status> {
-    enter(state).await?;
+    apply_faults(state).await?;
     let (key, end) = request.bounds().map_err(|_| Status::BadRequest)?;
-    let key = text(key)?;
-    let end = end.map(text).transpose()?;
+    let key = utf8(key)?;
+    let end = end.map(utf8).transpose()?;
     let start = request.create_request.start_revision;
-    let (mut feed, current, revision) = {
+    let (mut event_rx, current, revision) = {
         let store = state.store.lock().unwrap();
         let current = store.range(&key, end.as_deref());
         (store.subscribe(), current, store.revision())
     };
     let state = (*state).clone();
     Ok(TextStream! {
-        yield line(revision, Vec::new());
+        yield watch_line(revision, Vec::new());
         let missed: Vec<WireEvent> = current
             .iter()
             .filter(|kv| kv.mod_revision >= start)
             .map(|kv| WireEvent { kind: Default::default(), kv: kv.into() })
             .collect();
         if !missed.is_empty() {
-            yield line(revision, missed);
+            yield watch_line(revision, missed);
         }
-        while let Ok(event) = feed.recv().await {
+        while let Ok(event) = event_rx.recv().await {
             if state.fault.lock().unwrap().down {
                 break;
             }
-            if !within(&event.kv.key, &key, end.as_deref()) {
+            if !in_range(&event.kv.key, &key, end.as_deref()) {
                 continue;
             }
             let revision = event.kv.mod_revision;
             let wire = WireEvent { kind: event.kind, kv: (&event.kv).into() };
-            yield line(revision, vec![wire]);
+            yield watch_line(revision, vec![wire]);
         }
     })
 }
 
-/// Lets the lease of a key run out now, so that an experiment need not wait for it.
+/// Expires the lease of a key, so that tests need not wait for its TTL.
 #[post("/expire", data = "<key>")]
 async fn expire(state: &Shared, key: Json<String>) {
-    state.store.lock().unwrap().end_lease(&key);
+    state.store.lock().unwrap().expire_lease(&key);
 }
 
-/// Brings the KV back from a copy of this age in milliseconds.
+/// Restores the store from a snapshot that is at least this old.
 #[post("/restore", data = "<age_ms>")]
 async fn restore(state: &Shared, age_ms: Json<u64>) {
     let age = Duration::from_millis(*age_ms);
--- a/crates/standin/src/kv/store.rs
+++ b/crates/standin/src/kv/store.rs
@@ -1,4 +1,4 @@
-//! The state of the stand-in KV: keys with revisions, leases with deadlines, and the feed
+//! State of the fake KV: keys with revisions, leases with deadlines, and the channel of changes
 //! that watches read.
 
 use std::{
@@ -12,111 +12,113 @@
 };
 use tokio::sync::broadcast;
 
-/// How many changes a slow watcher may fall behind before its watch is closed.
-const FEED_DEPTH: usize = 1024;
+/// Number of changes that a watch may fall behind before it is closed.
+const WATCH_BUFFER_EVENTS: usize = 1024;
 
-/// One granted lease.
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
     deadline: Instant,
 }
 
-/// How often a copy is made, and how many are kept.
-const COPY_EVERY: Duration = Duration::from_millis(100);
-const COPIES: usize = 200;
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_SNAPSHOTS: usize = 200;
 
-/// Leases have numbers that say nothing of revisions, and are far larger.
-const FIRST_LEASE: i64 = 1 << 60;
+/// Lease ids are unrelated to revisions and start far above them.
+const FIRST_LEASE_ID: i64 = 1 << 60;
 
-/// What the store held at some moment.
+/// Contents of the store at one point in time, without its leases.
 #[derive(Debug)]
-struct Copy {
-    made: Instant,
+struct Snapshot {
+    taken_at: Instant,
     revision: u64,
     keys: BTreeMap<String, KeyValue>,
 }
 
-/// Keys, leases and the change feed, behind one lock in [`crate::kv::State`].
+/// Keys, leases and the channel of changes.
 #[derive(Debug)]
 pub struct Store {
-    /// How often it has come back from a copy.
+    /// Number of restores from a snapshot.
     era: u64,
-    copies: VecDeque<Copy>,
+    snapshots: VecDeque<Snapshot>,
     revision: u64,
     keys: BTreeMap<String, KeyValue>,
     leases: Map<i64, Lease>,
-    next_lease: i64,
-    feed: broadcast::Sender<Event>,
+    next_lease_id: i64,
+    event_tx: broadcast::Sender<Event>,
 }
 
 impl Store {
-    /// An empty store at revision 1, as etcd starts.
+    /// Creates an empty store at revision 1, like etcd.
     pub fn new() -> Self {
         Self {
             era: 0,
-            copies: VecDeque::new(),
+            snapshots: VecDeque::new(),
             revision: 1,
             keys: BTreeMap::new(),
             leases: Map::default(),
-            next_lease: FIRST_LEASE,
-            feed: broadcast::channel(FEED_DEPTH).0,
+            next_lease_id: FIRST_LEASE_ID,
+            event_tx: broadcast::channel(WATCH_BUFFER_EVENTS).0,
         }
     }
 
-    /// The current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How often it has come back from a copy.
+    /// Number of restores from a snapshot; sent in every response header.
     pub fn era(&self) -> u64 {
         self.era
     }
 
-    /// Makes a copy if it is time to.
-    pub fn copy(&mut self, now: Instant) {
+    /// Takes a snapshot if the last one is older than [`SNAPSHOT_INTERVAL`].
+    pub fn snapshot(&mut self, now: Instant) {
         if self
-            .copies
+            .snapshots
             .back()
-            .is_some_and(|last| last.made + COPY_EVERY > now)
+            .is_some_and(|last| last.taken_at + SNAPSHOT_INTERVAL > now)
         {
             return;
         }
-        self.copies.push_back(Copy {
-            made: now,
+        self.snapshots.push_back(Snapshot {
+            taken_at: now,
             revision: self.revision,
             keys: self.keys.clone(),
         });
-        if self.copies.len() > COPIES {
-            self.copies.pop_front();
+        if self.snapshots.len() > MAX_SNAPSHOTS {
+            self.snapshots.pop_front();
         }
     }
 
-    /// Comes back from the newest copy of at least this `age`, without leases and what lay under them. Ends
-    /// all watches.
+    /// Restores the newest snapshot that is at least `age` old, or the oldest one. Drops all leases and
+    /// the keys attached to them, and closes all watches.
     pub fn restore(&mut self, age: Duration) {
-        while self.copies.len() > 1 && self.copies.back().is_some_and(|c| c.made.elapsed() < age) {
-            self.copies.pop_back();
+        while self.snapshots.len() > 1
+            && self
+                .snapshots
+                .back()
+                .is_some_and(|c| c.taken_at.elapsed() < age)
+        {
+            self.snapshots.pop_back();
         }
-        let Some(copy) = self.copies.back() else {
+        let Some(snapshot) = self.snapshots.back() else {
             return;
         };
-        self.revision = copy.revision;
-        self.keys = copy.keys.clone();
+        self.revision = snapshot.revision;
+        self.keys = snapshot.keys.clone();
         self.keys.retain(|_, kv| kv.lease == 0);
         self.leases.clear();
-        self.next_lease = FIRST_LEASE;
-        self.feed = broadcast::channel(FEED_DEPTH).0;
+        self.next_lease_id = FIRST_LEASE_ID;
+        self.event_tx = broadcast::channel(WATCH_BUFFER_EVENTS).0;
         self.era += 1;
     }
 
-    /// A new subscription to the change feed.
+    /// Subscribes to changes of all keys.
     pub fn subscribe(&self) -> broadcast::Receiver<Event> {
-        self.feed.subscribe()
+        self.event_tx.subscribe()
     }
 
-    /// The keys from `start` up to `end` (exclusive), or `start` alone.
+    /// Returns the keys in `start..end`, or only `start` if there is no `end`.
     pub fn range(&self, start: &str, end: Option<&str>) -> Vec<KeyValue> {
         match end {
             None => self.keys.get(start).cloned().into_iter().collect(),
@@ -128,12 +130,13 @@
         }
     }
 
-    /// The last revision that wrote `key`, zero when it does not exist.
+    /// The revision of the last write to `key`, or 0 if it does not exist.
     pub fn mod_revision(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |kv| kv.mod_revision)
     }
 
-    /// Writes a key; a lease that does not exist makes the put fail, as in etcd.
+    /// Writes a key and returns the new revision. Fails if the lease does not exist, like etcd; lease 0
+    /// means none.
     pub fn put(&mut self, key: String, value: Vec<u8>, lease: i64) -> Result<u64, String> {
         if lease != 0 && !self.leases.contains_key(&lease) {
             return Err(format!("lease {lease} not found"));
@@ -149,24 +152,24 @@
             lease,
         };
         self.keys.insert(key, kv.clone());
-        let _ = self.feed.send(Event {
+        let _ = self.event_tx.send(Event {
             kind: EventType::Put,
             kv,
         });
         Ok(self.revision)
     }
 
-    /// Grants a lease of `ttl` seconds.
+    /// Grants a lease of `ttl` seconds, at least 1, and returns its id.
     pub fn grant(&mut self, ttl: u64) -> i64 {
-        let id = self.next_lease;
-        self.next_lease += 1;
+        let id = self.next_lease_id;
+        self.next_lease_id += 1;
         let ttl = Duration::from_secs(ttl.max(1));
         let deadline = Instant::now() + ttl;
         self.leases.insert(id, Lease { ttl, deadline });
         id
     }
 
-    /// Renews a lease; zero when it had already expired.
+    /// Renews a lease and returns its TTL in seconds, or 0 if it does not exist.
     pub fn keepalive(&mut self, id: i64) -> u64 {
         match self.leases.get_mut(&id) {
             Some(lease) => {
@@ -177,16 +180,16 @@
         }
     }
 
-    /// Makes the lease of `key`, if it has one, run out at the next sweep.
-    pub fn end_lease(&mut self, key: &str) {
+    /// Makes the lease of `key`, if it has one, expire at the next [`Store::expire_leases`].
+    pub fn expire_lease(&mut self, key: &str) {
         let lease = self.keys.get(key).map(|kv| kv.lease);
         if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.deadline = Instant::now();
         }
     }
 
-    /// Drops expired leases and the keys tied to them.
-    pub fn expire(&mut self, now: Instant) {
+    /// Removes expired leases and the keys attached to them.
+    pub fn expire_leases(&mut self, now: Instant) {
         let expired: Vec<i64> = self
             .leases
             .iter()
@@ -214,7 +217,7 @@
         self.revision += 1;
         kv.mod_revision = self.revision;
         kv.value.clear();
-        let _ = self.feed.send(Event {
+        let _ = self.event_tx.send(Event {
             kind: EventType::Delete,
             kv,
         });
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,7 +1,6 @@
-//! `dp-standin`: stand-ins of the systems dandelionpitch serves, for tests and trials.
+//! `dp-standin`: fakes of the systems that dandelionpitch connects to, for tests and benchmarks.
 //!
-//! Each sub-command runs one stand-in as its own process and prints, as its first line on
-//! standard output, where it listens.
+//! Each subcommand runs one fake and prints its addresses as the first line on stdout.
 
 mod group;
 mod kv;
@@ -12,7 +11,7 @@
 
 use clap::{Parser, Subcommand};
 
-/// Stand-ins of the database group and the platform KV. Test support; not shipped.
+/// Fakes of the database group and the platform services, for tests; not shipped.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Cli {
@@ -22,70 +21,70 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// A database group of servers on loopback ports chosen by the OS.
+    /// A database group that speaks the PostgreSQL wire protocol, on ports chosen by the OS.
     Group {
-        /// How many servers; the first is primary.
+        /// Number of servers; the first is the initial primary.
         #[arg(long, default_value_t = 3)]
         servers: usize,
         /// Replication lag of each replica, in milliseconds.
         #[arg(long, default_value_t = 20)]
         lag_ms: u64,
-        /// How many replicas must receive a commit before it is acknowledged.
+        /// Number of replicas that must receive a commit before it is acknowledged.
         #[arg(long, default_value_t = 1)]
         sync: usize,
-        /// How long a promotion takes, in milliseconds.
+        /// Time a promotion takes, in milliseconds.
         #[arg(long, default_value_t = 0)]
         promote_ms: u64,
         /// The address to listen on.
         #[arg(long, default_value = "127.0.0.1")]
         host: IpAddr,
     },
-    /// A platform that speaks the line protocol: a group, its store and its promotion call.
+    /// A platform that speaks the line protocol: a database group, its store and its promotion API.
     Line {
-        /// How many servers; the first is primary.
+        /// Number of servers; the first is the initial primary.
         #[arg(long, default_value_t = 3)]
         servers: usize,
-        /// How late replicas apply what they have received, in milliseconds.
+        /// Replication lag of each replica, in milliseconds.
         #[arg(long, default_value_t = 20)]
         lag_ms: u64,
-        /// How many replicas must receive a commit before it is acknowledged.
+        /// Number of replicas that must receive a commit before it is acknowledged.
         #[arg(long, default_value_t = 1)]
         sync: usize,
-        /// How long the call that promotes a server takes, in milliseconds.
+        /// Time a call to the promotion API takes, in milliseconds.
         #[arg(long, default_value_t = 300)]
         promote_ms: u64,
-        /// How long after that call the promotion takes effect, in milliseconds.
+        /// Time from the end of that call to the promotion itself, in milliseconds.
         #[arg(long, default_value_t = 0)]
         effect_ms: u64,
-        /// How long a primary leads on after it has reached a later one, in milliseconds.
+        /// Time a primary keeps its role after it reaches one of a higher term, in milliseconds.
         #[arg(long, default_value_t = 0)]
         outranked_ms: u64,
-        /// How many connections each server takes.
+        /// Number of connections each server accepts.
         #[arg(long, default_value_t = 1_000)]
         max_connections: usize,
         /// The address to listen on.
         #[arg(long, default_value = "127.0.0.1")]
         host: IpAddr,
     },
-    /// The platform's list of live and leaving VMs.
+    /// The platform's list of running and draining VMs.
     Vms {
         /// The address to listen on; port 0 lets the OS choose.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: std::net::SocketAddr,
     },
-    /// The platform KV, as the etcd v3 JSON gateway.
+    /// The platform KV, with the API of the etcd v3 JSON gateway.
     Kv {
         /// The address to listen on; port 0 lets the OS choose.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: std::net::SocketAddr,
-        /// How many addresses to serve the one store on, each with faults of its own; those
-        /// after the first get ports from the OS.
+        /// Number of addresses to serve the store on, each with its own faults. The OS chooses the
+        /// ports of all but the first.
         #[arg(long, default_value_t = 1)]
         doors: usize,
     },
 }
 
-/// Prints where a stand-in listens, as the first line of standard output.
+/// Prints a line on stdout and flushes it, for the test that started the process.
 fn announce(line: &str) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}");
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -1,23 +1,23 @@
-//! The stand-in of the platform's VM list: HTTP/JSON on `rocket`, with an entity tag so that a
-//! reader fetches only what has changed.
+//! Fake of the platform's VM list, served as JSON over HTTP with `rocket`. Responses carry an `ETag`,
+//! so that clients fetch the list only when it has changed.
 
 use std::{net::SocketAddr, sync::Mutex};
 
 use dandelionpitch_core::vms::Vm;
 use rocket::{get, post, request, response, routes, serde::json::Json, Request, State};
 
-/// The list and how often it was replaced, which is its entity tag.
+/// The list and its version, which is its `ETag`.
 #[derive(Debug, Default)]
 struct List {
     vms: Vec<Vm>,
     version: u64,
 }
 
-/// The entity tag a reader already has.
-struct Known(Option<String>);
+/// The `If-None-Match` header of a request: the `ETag` that the client already has.
+struct IfNoneMatch(Option<String>);
 
 #[rocket::async_trait]
-impl<'r> request::FromRequest<'r> for Known {
+impl<'r> request::FromRequest<'r> for IfNoneMatch {
     type Error = std::convert::Infallible;
 
     async fn from_request(request: &'r Request<'_>) -> request::Outcome<Self, Self::Error> {
@@ -27,20 +27,20 @@
 }
 
 #[derive(response::Responder)]
-enum Answer {
+enum Response {
     #[response(status = 200)]
-    Changed(Json<Vec<Vm>>, rocket::http::Header<'static>),
+    Modified(Json<Vec<Vm>>, rocket::http::Header<'static>),
     #[response(status = 304)]
-    Same(()),
+    NotModified(()),
 }
 
 #[get("/vms")]
-fn read(known: Known, list: &State<Mutex<List>>) -> Answer {
+fn get_list(if_none_match: IfNoneMatch, list: &State<Mutex<List>>) -> Response {
     let list = list.lock().unwrap();
     let tag = format!("\"{}\"", list.version);
-    match known.0.as_ref() == Some(&tag) {
-        true => Answer::Same(()),
-        false => Answer::Changed(
+    match if_none_match.0.as_ref() == Some(&tag) {
+        true => Response::NotModified(()),
+        false => Response::Modified(
             Json(list.vms.clone()),
             rocket::http::Header::new("ETag", tag),
         ),
@@ -48,17 +48,17 @@
 }
 
 #[post("/vms", data = "<vms>")]
-fn replace(vms: Json<Vec<Vm>>, list: &State<Mutex<List>>) {
+fn replace_list(vms: Json<Vec<Vm>>, list: &State<Mutex<List>>) {
     let mut list = list.lock().unwrap();
     list.vms = vms.into_inner();
     list.version += 1;
 }
 
-/// Serves the list at `address` until the process ends; prints its URL on stdout.
-pub async fn serve(address: SocketAddr) -> Result<(), rocket::Error> {
+/// Serves the list at `addr` until the process ends; prints its URL on stdout.
+pub async fn serve(addr: SocketAddr) -> Result<(), rocket::Error> {
     let figment = rocket::Config::figment()
-        .merge(("address", address.ip()))
-        .merge(("port", address.port()))
+        .merge(("address", addr.ip()))
+        .merge(("port", addr.port()))
         .merge(("log_level", "off"))
         .merge(("shutdown.ctrlc", false));
     let announce = rocket::fairing::AdHoc::on_liftoff("announce", |rocket| {
@@ -68,7 +68,7 @@
     });
     let _ = rocket::custom(figment)
         .manage(Mutex::new(List::default()))
-        .mount("/", routes![read, replace])
+        .mount("/", routes![get_list, replace_list])
         .attach(announce)
         .launch()
         .await?;
