--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -102,8 +102,8 @@
     }
 }
 
-/// Runs a group on `host` until the process ends. Prints the servers' addresses on stdout, separated
-/// by commas, the initial primary first.
+/// Runs a group on `host` until the process ends. Prints the servers' addresses on stdout,
+/// separated by commas, the initial primary first.
 pub async fn serve(host: std::net::IpAddr, settings: Settings) -> std::io::Result<()> {
     let shared = Arc::new(Shared::new(settings));
     let mut addrs: Vec<SocketAddr> = Vec::with_capacity(settings.servers);
--- a/crates/standin/src/group/connection.rs
+++ b/crates/standin/src/group/connection.rs
@@ -61,8 +61,8 @@
         })
     }
 
-    /// Waits while a fault keeps the server from answering this caller. Never returns once the server
-    /// was killed; the connection task is then dropped.
+    /// Waits while a fault keeps the server from answering this caller. Never returns once the
+    /// server was killed; the connection task is then dropped.
     async fn wait_unblocked(&self) {
         let dc = self.dc.lock().unwrap().clone();
         while self.incarnation.has_ended()
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Returns the server's applied position after `sync_replicas` replicas confirmed its leadership.
+    /// Returns the server's applied position after `sync_replicas` replicas confirmed its
+    /// leadership.
     async fn barrier(&self) -> PgWireResult<Response> {
         loop {
             let (progress, position) = {
@@ -276,7 +277,8 @@
     }
 }
 
-/// Returns a result row for each write of a log entry: the entry's position and the changed row's id.
+/// Returns a result row for each write of a log entry: the entry's position and the changed row's
+/// id.
 fn history_rows(entry: &Entry) -> Vec<Vec<String>> {
     let row = |op: &Op| vec![entry.position.to_string(), op.id().to_owned()];
     entry.ops.iter().map(row).collect()
--- a/crates/standin/src/group/fault.rs
+++ b/crates/standin/src/group/fault.rs
@@ -82,8 +82,8 @@
 pub struct Faults {
     partitions: Set<(usize, String)>,
     fence_delays: Map<usize, u64>,
-    /// Number of `silence` faults per server. A connection opened before the most recent one gets no
-    /// answers.
+    /// Number of `silence` faults per server. A connection opened before the most recent one gets
+    /// no answers.
     silence_counts: Map<usize, u64>,
 }
 
--- a/crates/standin/src/group/incarnation.rs
+++ b/crates/standin/src/group/incarnation.rs
@@ -55,8 +55,8 @@
         let _ = self.0.subscribe().wait_for(|state| state.running).await;
     }
 
-    /// Waits until the last kill or start has completed, so that the server accepts connections if and
-    /// only if it is running.
+    /// Waits until the last kill or start has completed, so that the server accepts connections if
+    /// and only if it is running.
     pub async fn wait_settled(&self) {
         let settled = |state: &State| state.running == state.listening;
         let _ = self.0.subscribe().wait_for(settled).await;
--- a/crates/standin/src/group/sql.rs
+++ b/crates/standin/src/group/sql.rs
@@ -175,7 +175,8 @@
     Ok(Command::Literal(values))
 }
 
-/// Parses a control function call such as `dandelionpitch_promote(2)`; `None` for other expressions.
+/// Parses a control function call such as `dandelionpitch_promote(2)`; `None` for other
+/// expressions.
 fn control_call(expr: &Expr) -> Result<Option<Command>, String> {
     let Expr::Function(function) = expr else {
         return Ok(None);
--- a/crates/standin/src/group/state.rs
+++ b/crates/standin/src/group/state.rs
@@ -216,8 +216,8 @@
         Ok(target.received_position())
     }
 
-    /// Makes `server` primary in `term` with the entries it has received. Returns its position, or an
-    /// error if its term is higher or it is already primary in another term.
+    /// Makes `server` primary in `term` with the entries it has received. Returns its position, or
+    /// an error if its term is higher or it is already primary in another term.
     pub fn promote(&mut self, server: usize, term: u64) -> Result<Position, String> {
         let target = &mut self.servers[server];
         if target.role == Role::Primary && target.term == term {
@@ -291,8 +291,9 @@
         }
     }
 
-    /// Copies `leader`'s log to every reachable server that accepts its term, and returns the number
-    /// of these servers. Steps `leader` down if it has been superseded for [`STEP_DOWN_DELAY`].
+    /// Copies `leader`'s log to every reachable server that accepts its term, and returns the
+    /// number of these servers. Steps `leader` down if it has been superseded for
+    /// [`STEP_DOWN_DELAY`].
     fn replicate_from(&mut self, leader: usize, now: Instant) -> usize {
         if !self.servers[leader].is_reachable() {
             return 0;
--- a/crates/standin/src/group/state/server.rs
+++ b/crates/standin/src/group/state/server.rs
@@ -112,8 +112,8 @@
         self.applied += 1;
     }
 
-    /// Truncates the log to its first `keep` entries, and rebuilds the table if any removed entry was
-    /// applied.
+    /// Truncates the log to its first `keep` entries, and rebuilds the table if any removed entry
+    /// was applied.
     pub fn truncate_log(&mut self, keep: usize) {
         self.log.truncate(keep);
         if self.applied > keep {
--- a/crates/standin/src/kv/store.rs
+++ b/crates/standin/src/kv/store.rs
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Restores the newest snapshot that is at least `age` old, or the oldest one. Drops all leases and
-    /// the keys attached to them, and closes all watches.
+    /// Restores the newest snapshot that is at least `age` old, or the oldest one. Drops all leases
+    /// and the keys attached to them, and closes all watches.
     pub fn restore(&mut self, age: Duration) {
         while self.snapshots.len() > 1
             && self
@@ -135,8 +135,8 @@
         self.keys.get(key).map_or(0, |kv| kv.mod_revision)
     }
 
-    /// Writes a key and returns the new revision. Fails if the lease does not exist, like etcd; lease 0
-    /// means none.
+    /// Writes a key and returns the new revision. Fails if the lease does not exist, like etcd;
+    /// lease 0 means none.
     pub fn put(&mut self, key: String, value: Vec<u8>, lease: i64) -> Result<u64, String> {
         if lease != 0 && !self.leases.contains_key(&lease) {
             return Err(format!("lease {lease} not found"));
--- a/crates/standin/src/line.rs
+++ b/crates/standin/src/line.rs
@@ -1,8 +1,8 @@
-//! The stand-in of a platform that speaks the line protocol: one database group of servers, the
-//! store they register in, and the call that promotes one of them, all in one process.
+//! Fake platform that speaks the line protocol: one database group, the store its servers register
+//! in, and the promotion API, in one process.
 //!
-//! It is written from the platform's published protocol, apart from the proxy's own codec, so that
-//! the tests do not only show that the codec agrees with itself.
+//! It implements the protocol independently of the proxy's codec, so that a bug in that codec
+//! cannot cancel itself out in tests.
 
 mod connection;
 mod database;
@@ -21,55 +21,57 @@
 use database::Database;
 use store::Store;
 
-/// How the stand-in is set up.
+/// Configuration of the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     pub servers: usize,
-    /// How many connections each of them takes.
+    /// Number of connections each server accepts.
     pub max_connections: usize,
-    /// How late a replica applies what it has received.
+    /// Time after which a replica applies an entry it has received.
     pub lag: Duration,
-    /// How many replicas must receive a commit before it is acknowledged.
-    pub sync: usize,
-    /// How long the call that promotes a server takes.
-    pub promote: Duration,
-    /// How long after the call a promotion takes effect.
-    pub effect: Duration,
-    /// How long a primary leads on after it has reached a primary of a later term.
-    pub outranked: Duration,
+    /// Number of replicas that must receive a commit before it is acknowledged.
+    pub sync_replicas: usize,
+    /// Time a call to the promotion API takes.
+    pub promote_call_duration: Duration,
+    /// Time from the end of that call to the promotion itself.
+    pub promotion_effect_delay: Duration,
+    /// Time a primary keeps its role after it first reaches a primary of a higher term.
+    pub step_down_delay: Duration,
 }
 
-/// The name of the one group.
+/// Service name of the database group.
 pub const SERVICE: &str = "ledger";
 
-/// Everything the stand-in keeps.
+/// State of the platform.
 #[derive(Debug)]
-pub struct World {
+pub struct Platform {
     pub store: Store,
     pub database: Database,
-    /// The configuration that was put last.
+    /// The operators' last configuration, also kept across restores of the store.
     pub config: Vec<u8>,
-    /// The fencing tokens of the calls for promotions, in their order.
-    pub tokens: Vec<u64>,
+    /// Fencing tokens of all calls to the promotion API, in the order of the calls.
+    pub fencing_tokens: Vec<u64>,
 }
 
-/// The world, shared by all connections, and the signal that it has changed.
+/// Handle to the platform, shared by all connections.
 #[derive(Clone, Debug)]
 pub struct Shared {
-    pub world: Arc<Mutex<World>>,
+    pub platform: Arc<Mutex<Platform>>,
+    /// Notified after each update of the platform.
     pub changed: Arc<Notify>,
     pub settings: Settings,
 }
 
 impl Shared {
-    /// Changes the world and tells all who wait for it.
-    pub fn change<T>(&self, change: impl FnOnce(&mut World) -> T) -> T {
+    /// Updates the platform, synchronizes the registrations in the store with the servers, and
+    /// wakes all tasks that wait for changes.
+    pub fn update<T>(&self, update: impl FnOnce(&mut Platform) -> T) -> T {
         let result = {
-            let mut world = self.world.lock().expect("no change panics");
-            let result = change(&mut world);
-            let World {
+            let mut platform = self.platform.lock().expect("platform lock is not poisoned");
+            let result = update(&mut platform);
+            let Platform {
                 store, database, ..
-            } = &mut *world;
+            } = &mut *platform;
             database.register(store);
             result
         };
@@ -78,26 +80,27 @@
     }
 }
 
-/// Serves the stand-in until the process ends; prints its addresses as JSON.
+/// Runs the platform on `host` until the process ends. Prints the address of its HTTP server on
+/// stdout.
 pub async fn serve(host: std::net::IpAddr, settings: Settings) -> std::io::Result<()> {
     let mut listeners = Vec::new();
-    let mut addresses: Vec<SocketAddr> = Vec::new();
+    let mut addrs: Vec<SocketAddr> = Vec::new();
     for _ in 0..settings.servers {
         let listener = TcpListener::bind((host, 0)).await?;
-        addresses.push(listener.local_addr()?);
+        addrs.push(listener.local_addr()?);
         listeners.push(listener);
     }
     let shared = Shared {
-        world: Arc::new(Mutex::new(World {
+        platform: Arc::new(Mutex::new(Platform {
             store: Store::default(),
-            database: Database::new(&addresses, settings),
+            database: Database::new(&addrs, settings),
             config: Vec::new(),
-            tokens: Vec::new(),
+            fencing_tokens: Vec::new(),
         })),
         changed: Arc::default(),
         settings,
     };
-    shared.change(|_| ());
+    shared.update(|_| ());
     for (index, listener) in listeners.into_iter().enumerate() {
         rocket::tokio::spawn(connection::serve(listener, index, shared.clone()));
     }
--- a/crates/standin/src/line/connection.rs
+++ b/crates/standin/src/line/connection.rs
@@ -1,4 +1,4 @@
-//! One database server's connections.
+//! Connections to a database server over the line protocol.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,32 +11,33 @@
 
 use super::{database::Server, Shared, SERVICE};
 
-/// How often a waiting commit looks whether it has been received.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which a commit checks whether replicas have received it.
+const COMMIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How long a read or write takes.
-const WORK: Duration = Duration::from_millis(1);
+/// Simulated execution time of a read or write.
+const STATEMENT_DURATION: Duration = Duration::from_millis(1);
 
-/// Accepts connections of the server `index`; those to a dead server are closed at once.
+/// Accepts connections to the server `index`. While the server is not running, they are closed at
+/// the next update of the platform.
 pub async fn serve(listener: TcpListener, index: usize, shared: Shared) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
-        let life = shared
-            .world
+        let incarnation = shared
+            .platform
             .lock()
-            .expect("no change panics")
+            .expect("platform lock is not poisoned")
             .database
             .servers[index]
-            .life;
+            .incarnation;
         let connection = Connection {
             index,
-            life,
+            incarnation,
             shared: shared.clone(),
             transaction: None,
-            names: BTreeMap::new(),
-            values: BTreeMap::new(),
+            prepared: BTreeMap::new(),
+            session_values: BTreeMap::new(),
         };
         tokio::spawn(connection.run(stream));
     }
@@ -50,23 +51,25 @@
 
 struct Connection {
     index: usize,
-    /// The life of the server that accepted it; the connection ends with it.
-    life: u64,
+    /// Incarnation of the server that accepted the connection; the connection ends with it.
+    incarnation: u64,
     shared: Shared,
     transaction: Option<Transaction>,
-    names: BTreeMap<String, String>,
-    values: BTreeMap<String, String>,
+    /// Prepared statements: verbs by name.
+    prepared: BTreeMap<String, String>,
+    /// Session parameters set with `SET`.
+    session_values: BTreeMap<String, String>,
 }
 
-/// Rows and the last line's words, or a code and a text.
+/// Result rows, or an error code and its text.
 type Outcome = Result<Vec<String>, (&'static str, String)>;
 
 impl Connection {
     async fn run(self, stream: TcpStream) {
         let (shared, index) = (self.shared.clone(), self.index);
-        shared.change(|world| world.database.servers[index].connections += 1);
+        shared.update(|platform| platform.database.servers[index].connections += 1);
         self.serve(stream).await;
-        shared.change(|world| world.database.servers[index].connections -= 1);
+        shared.update(|platform| platform.database.servers[index].connections -= 1);
     }
 
     async fn serve(mut self, stream: TcpStream) {
@@ -85,58 +88,66 @@
             if self.has_ended() {
                 return;
             }
-            if self.read(|server| server.fault.silent) {
+            if self.with_server(|server| server.fault.unresponsive) {
                 continue;
             }
             let Some(answer) = self.answer(&line).await else {
                 return;
             };
-            // A server that crashes while it works on a statement answers nothing.
+            // A server that crashes while it executes a statement does not answer it.
             if self.has_ended() || writer.write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Whether the server has stopped, or started again, since it accepted the connection.
+    /// Whether the server has stopped or restarted since it accepted the connection.
     fn has_ended(&self) -> bool {
-        let life = self.life;
-        self.read(|server| !server.is_up() || server.life != life)
+        let incarnation = self.incarnation;
+        self.with_server(|server| !server.is_up() || server.incarnation != incarnation)
     }
 
-    /// Whether the server has no time for a request; it then does nothing of what was asked.
-    fn is_refused(&self, verb: &str) -> bool {
-        let mut world = self.shared.world.lock().expect("no change panics");
-        let server = &mut world.database.servers[self.index];
+    /// Whether a fault of the server rejects a request. A rejected request has no effect.
+    fn rejects(&self, verb: &str) -> bool {
+        let mut platform = self
+            .shared
+            .platform
+            .lock()
+            .expect("platform lock is not poisoned");
+        let server = &mut platform.database.servers[self.index];
         match verb {
-            "STATUS" | "PAUSE" | "RESUME" | "STEPDOWN" => server.refuses_order(),
-            "FETCH" | "PUT" | "COMMIT" => server.refuses_statement(),
+            "STATUS" | "PAUSE" | "RESUME" | "STEPDOWN" => server.rejects_command(),
+            "FETCH" | "PUT" | "COMMIT" => server.rejects_statement(),
             _ => false,
         }
     }
 
-    fn read<T>(&self, read: impl FnOnce(&Server) -> T) -> T {
-        let world = self.shared.world.lock().expect("no change panics");
-        read(&world.database.servers[self.index])
+    fn with_server<T>(&self, inspect: impl FnOnce(&Server) -> T) -> T {
+        let platform = self
+            .shared
+            .platform
+            .lock()
+            .expect("platform lock is not poisoned");
+        inspect(&platform.database.servers[self.index])
     }
 
     async fn answer(&mut self, line: &str) -> Option<String> {
         let mut words = line.splitn(3, ' ');
         match words.next()? {
             "START" => {
-                let rest = (words.next()?, words.next().unwrap_or_default());
-                let id = self.read(|server| server.id.clone());
-                let expected = rest.1.split(' ').nth(1).unwrap_or(&id);
-                if rest.0 != SERVICE || expected != id {
+                let start = (words.next()?, words.next().unwrap_or_default());
+                let id = self.with_server(|server| server.id.clone());
+                let expected = start.1.split(' ').nth(1).unwrap_or(&id);
+                if start.0 != SERVICE || expected != id {
                     return Some(format!("ERR MOVED {id}\r\n"));
                 }
-                let most = self.shared.settings.max_connections;
-                if self.read(|server| server.connections) > most {
+                let limit = self.shared.settings.max_connections;
+                if self.with_server(|server| server.connections) > limit {
                     let index = self.index;
-                    let away = |world: &mut super::World| {
-                        world.database.servers[index].turned_away += 1;
+                    let count_rejection = |platform: &mut super::Platform| {
+                        platform.database.servers[index].rejected_connections += 1;
                     };
-                    self.shared.change(away);
+                    self.shared.update(count_rejection);
                     return Some(format!("ERR MAXCONN {id}\r\n"));
                 }
                 Some(self.ready())
@@ -148,7 +159,7 @@
                 Some(match result {
                     Ok(rows) => {
                         let signature =
-                            self.read(|server| format!("{}.{}", server.id, server.term));
+                            self.with_server(|server| format!("{}.{}", server.id, server.term));
                         let rows: String =
                             rows.iter().map(|row| format!("ROW {row}\r\n")).collect();
                         format!("{rows}DONE {signature}\r\n{ready}")
@@ -167,11 +178,11 @@
             Some(Transaction { failed: true, .. }) => "E",
         };
         let lag = self.shared.settings.lag;
-        let (term, number) = self.read(|server| server.applied(lag));
+        let (term, number) = self.with_server(|server| server.applied_position(lag));
         format!("READY {state} {term}.{number}\r\n")
     }
 
-    /// `None` closes the connection.
+    /// Executes a statement. `None` closes the connection.
     async fn query(&mut self, text: &str) -> Option<Outcome> {
         let (mut verb, mut rest) = text.split_once(' ').unwrap_or((text, ""));
         if verb == "AFTER" {
@@ -179,43 +190,47 @@
             let (term, number) = position.split_once('.')?;
             let wanted = (term.parse().ok()?, number.parse().ok()?);
             let lag = self.shared.settings.lag;
-            if self.read(|server| server.applied(lag)) < wanted {
-                return Some(Err(("LAGGING", self.read(|server| server.id.clone()))));
+            if self.with_server(|server| server.applied_position(lag)) < wanted {
+                return Some(Err((
+                    "LAGGING",
+                    self.with_server(|server| server.id.clone()),
+                )));
             }
             (verb, rest) = query.split_once(' ').unwrap_or((query, ""));
         }
-        let shape;
+        let template;
         if verb == "EXEC" {
             let (name, arguments) = rest.split_once(' ').unwrap_or((rest, ""));
-            let Some(known) = self.names.get(name) else {
+            let Some(prepared_text) = self.prepared.get(name) else {
                 return Some(Err(("NOSTMT", name.to_owned())));
             };
-            shape = known.clone();
-            verb = shape.split(' ').next().unwrap_or_default();
+            template = prepared_text.clone();
+            verb = template.split(' ').next().unwrap_or_default();
             rest = arguments;
         }
-        if self.is_refused(verb) {
-            return Some(Err(("BUSY", self.read(|server| server.id.clone()))));
+        if self.rejects(verb) {
+            return Some(Err(("BUSY", self.with_server(|server| server.id.clone()))));
         }
         Some(match verb {
-            "STATUS" | "PAUSE" | "RESUME" | "STEPDOWN" => Ok(vec![self.order(verb, rest)]),
+            "STATUS" | "PAUSE" | "RESUME" | "STEPDOWN" => Ok(vec![self.run_command(verb, rest)]),
             "SET" => {
                 let (name, value) = rest.split_once(' ').unwrap_or((rest, ""));
-                self.values.insert(name.to_owned(), value.to_owned());
+                self.session_values
+                    .insert(name.to_owned(), value.to_owned());
                 Ok(Vec::new())
             }
             "RESET" => {
-                self.values.clear();
-                self.names.clear();
+                self.session_values.clear();
+                self.prepared.clear();
                 Ok(Vec::new())
             }
             "PREPARE" => {
-                let (name, shape) = rest.split_once(' ')?;
-                self.names.insert(name.to_owned(), shape.to_owned());
+                let (name, template) = rest.split_once(' ')?;
+                self.prepared.insert(name.to_owned(), template.to_owned());
                 Ok(Vec::new())
             }
             "BEGIN" => {
-                if rest.is_empty() && !self.read(|server| server.primary) {
+                if rest.is_empty() && !self.with_server(|server| server.primary) {
                     return Some(Err(self.read_only()));
                 }
                 self.transaction = Some(Transaction::default());
@@ -236,12 +251,13 @@
     }
 
     fn read_only(&self) -> (&'static str, String) {
-        ("READONLY", self.read(|server| server.id.clone()))
+        ("READONLY", self.with_server(|server| server.id.clone()))
     }
 
-    /// A row with the item's data, or `-`; then one with each session value in force.
+    /// Returns a row with the item's data, or `-` if it does not exist, followed by a row for each
+    /// session parameter.
     async fn fetch(&mut self, item: &str) -> Outcome {
-        sleep(WORK).await;
+        sleep(STATEMENT_DURATION).await;
         let lag = self.shared.settings.lag;
         let own = self
             .transaction
@@ -251,14 +267,17 @@
             .into_iter()
             .find(|(key, _)| key == item)
             .map(|(_, data)| data.clone());
-        let stored = self.read(|server| {
-            let entries: Vec<_> = server.visible(lag).filter(|e| e.item == item).collect();
+        let stored = self.with_server(|server| {
+            let entries: Vec<_> = server
+                .visible_entries(lag)
+                .filter(|e| e.item == item)
+                .collect();
             entries.last().map(|entry| entry.data.clone())
         });
         let data = own.or(stored).unwrap_or_else(|| "-".to_owned());
         let mut rows = vec![data];
         rows.extend(
-            self.values
+            self.session_values
                 .iter()
                 .map(|(name, value)| format!("{name}={value}")),
         );
@@ -266,10 +285,10 @@
     }
 
     async fn put(&mut self, rest: &str) -> Outcome {
-        sleep(WORK).await;
+        sleep(STATEMENT_DURATION).await;
         let (item, data) = rest.split_once(' ').unwrap_or((rest, ""));
         let write = (item.to_owned(), data.to_owned());
-        if !self.read(|server| server.primary) {
+        if !self.with_server(|server| server.primary) {
             if let Some(transaction) = &mut self.transaction {
                 transaction.failed = true;
             }
@@ -284,43 +303,43 @@
         }
     }
 
-    /// Commits and waits until enough replicas have received it.
+    /// Appends `writes` to the log and waits until `sync_replicas` replicas have received them.
     async fn commit(&mut self, writes: Vec<(String, String)>) -> Outcome {
         if writes.is_empty() {
             return Ok(Vec::new());
         }
-        if !self.read(|server| server.primary) {
+        if !self.with_server(|server| server.primary) {
             return Err(self.read_only());
         }
         let index = self.index;
         let position = self
             .shared
-            .change(|world| world.database.append(index, &writes));
+            .update(|platform| platform.database.append(index, &writes));
         loop {
-            let sync = self.shared.settings.sync;
-            let received = self.shared.change(|world| {
-                world.database.replicate();
-                world.database.receivers(index, position)
+            let sync_replicas = self.shared.settings.sync_replicas;
+            let received = self.shared.update(|platform| {
+                platform.database.replicate();
+                platform.database.receivers(index, position)
             });
-            if received >= sync {
+            if received >= sync_replicas {
                 return Ok(Vec::new());
             }
-            if !self.read(|server| server.primary) {
-                return Err(("UNKNOWN", "the lead was lost".to_owned()));
+            if !self.with_server(|server| server.primary) {
+                return Err(("UNKNOWN", "the server lost leadership".to_owned()));
             }
-            sleep(LOOK).await;
+            sleep(COMMIT_POLL_INTERVAL).await;
         }
     }
 
-    /// Carries out an order about the lead; the row says how the server stands after it.
-    fn order(&mut self, verb: &str, rest: &str) -> String {
+    /// Runs a control command and returns a row with the server's status after it.
+    fn run_command(&mut self, verb: &str, rest: &str) -> String {
         let term: u64 = rest.parse().unwrap_or_default();
         let index = self.index;
-        self.shared.change(|world| {
-            let server = &mut world.database.servers[index];
+        self.shared.update(|platform| {
+            let server = &mut platform.database.servers[index];
             match verb {
-                "PAUSE" if !server.primary && term > server.term => server.held = term,
-                "RESUME" => server.held = 0,
+                "PAUSE" if !server.primary && term > server.term => server.pause_term = term,
+                "RESUME" => server.pause_term = 0,
                 "STEPDOWN" if term > server.term => server.primary = false,
                 _ => {}
             }
@@ -331,7 +350,7 @@
             let (last, number) = server.position();
             format!(
                 "{role} {} {last}.{number} {} 0 0 1",
-                server.term, server.held
+                server.term, server.pause_term
             )
         })
     }
--- a/crates/standin/src/line/database.rs
+++ b/crates/standin/src/line/database.rs
@@ -1,4 +1,4 @@
-//! The database group: servers with logs, terms, holds and faults.
+//! The database group: servers with logs, terms and faults.
 
 use std::{
     net::SocketAddr,
@@ -9,142 +9,154 @@
 
 use super::{store::Store, Settings, SERVICE};
 
-/// When the servers' first lives started.
-const FIRST_BORN: u64 = 1_700_000_000_000;
+/// Start time of every server's first incarnation.
+const INITIAL_START_MS: u64 = 1_700_000_000_000;
 
-/// A crowded server answers one in so many orders and statements, and the others with `BUSY`. Few orders get
-/// through, so that a promoter that asks now and then hears nothing for a second while callers, who
-/// ask all the time, are served.
-const CROWDED_ORDERS: usize = 16;
-const CROWDED_STATEMENTS: usize = 4;
+/// An overloaded server runs one in this many control commands and statements, and rejects the
+/// others with `BUSY`. The ratio for control commands is higher, so that a failover process, which
+/// polls rarely, gets no status for a second, while callers, which retry constantly, are still
+/// served.
+const OVERLOADED_COMMAND_RATIO: usize = 16;
+const OVERLOADED_STATEMENT_RATIO: usize = 4;
 
-/// A committed write.
+/// A write in a server's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub term: u64,
     pub number: u64,
     pub item: String,
     pub data: String,
-    /// When the server received it.
-    pub received: Instant,
-    /// The server has applied it however short a time ago that was: it has led with it.
-    led: bool,
+    /// When this server received the entry.
+    pub received_at: Instant,
+    /// Whether the entry is visible without waiting for the replication lag, because this server
+    /// wrote it or was promoted with it.
+    applied_at_once: bool,
 }
 
-/// What an experiment does to a server.
+/// Faults of one server, set by tests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fault {
-    /// It accepts nothing and closes what is open.
-    pub dead: bool,
-    /// It answers nothing.
-    pub silent: bool,
-    /// As `dead`, but its registration stays, and it comes back with its log, knowing of no hold.
+    /// Closes all connections, accepts none, and is removed from the store.
+    pub stopped: bool,
+    /// Reads requests but does not answer them.
+    pub unresponsive: bool,
+    /// As `stopped`, but keeps its registration. When cleared, the server restarts with its log and
+    /// without its pause term.
     pub crashed: bool,
-    /// It exchanges nothing with the other servers.
-    pub cut: bool,
-    /// It exchanges nothing with this one.
-    pub cut_from: Option<usize>,
-    /// It receives nothing from its primary.
-    pub deaf: bool,
-    /// It says that it will stop.
-    pub leaving: bool,
-    /// Its registration is not there, though it runs.
-    pub unlisted: bool,
-    /// It has no time for any request that takes a slot.
+    /// Cannot replicate to or from any other server.
+    pub partitioned: bool,
+    /// Cannot replicate to or from this other server.
+    pub partitioned_from: Option<usize>,
+    /// Receives no entries from other servers.
+    pub ignores_replication: bool,
+    /// Registers as `draining`.
+    pub draining: bool,
+    /// Runs, but has no registration in the store.
+    pub unregistered: bool,
+    /// Rejects all control commands and statements that take a slot.
     pub busy: bool,
-    /// It has no time for most requests that take a slot.
-    pub crowded: bool,
+    /// Rejects most control commands and statements that take a slot.
+    pub overloaded: bool,
 }
 
 /// One server of the group.
 #[derive(Clone, Debug)]
 pub struct Server {
     pub id: String,
-    pub address: SocketAddr,
-    /// When its present life started, in Unix milliseconds.
-    pub born: u64,
-    /// Counts its lives; a connection ends with the life in which it was accepted. Unlike `born` it is
-    /// not registered: the platform says nothing of a server that comes back with its log.
-    pub life: u64,
+    pub addr: SocketAddr,
+    /// When the server last started without its log, in Unix milliseconds.
+    pub started_at_ms: u64,
+    /// Incremented at every restart; a connection ends with the incarnation that accepted it.
+    /// Unlike `started_at_ms` it is not registered, as the platform does not publish restarts with
+    /// the log kept.
+    pub incarnation: u64,
     pub primary: bool,
     pub term: u64,
-    pub held: u64,
+    /// Term of the last `PAUSE`: primaries of lower terms are rejected. 0 if not paused.
+    pub pause_term: u64,
     pub log: Vec<Entry>,
-    /// Since when, as a primary, it has reached a primary of a later term.
-    outranked: Option<Instant>,
-    /// How many orders and statements came that take a slot.
-    orders: usize,
+    /// When this primary first reached a primary of a higher term.
+    superseded_since: Option<Instant>,
+    /// Number of control commands and statements that took a slot, rejected ones included.
+    commands: usize,
     statements: usize,
     pub connections: usize,
-    /// How many connections it turned away because it had too many.
-    pub turned_away: usize,
+    /// Number of connections rejected because of `max_connections`.
+    pub rejected_connections: usize,
     pub fault: Fault,
 }
 
 impl Server {
-    /// The end of its log.
+    /// Position (term and number) of the last entry in the log.
     pub fn position(&self) -> (u64, u64) {
         self.log
             .last()
             .map_or((1, 0), |entry| (entry.term, entry.number))
     }
 
-    /// The end of what it has applied.
-    pub fn applied(&self, lag: Duration) -> (u64, u64) {
-        let applied = self.visible(lag).last();
+    /// Position of the last applied entry.
+    pub fn applied_position(&self, lag: Duration) -> (u64, u64) {
+        let applied = self.visible_entries(lag).last();
         applied.map_or((1, 0), |entry| (entry.term, entry.number))
     }
 
-    /// What its reads see: what it has led with, and what it received long enough ago.
-    pub fn visible(&self, lag: Duration) -> impl Iterator<Item = &Entry> {
-        let seen = move |entry: &&Entry| entry.led || entry.received.elapsed() >= lag;
-        self.log.iter().take_while(seen)
+    /// The applied entries, which reads can see: those applied at once and those received at least
+    /// `lag` ago.
+    pub fn visible_entries(&self, lag: Duration) -> impl Iterator<Item = &Entry> {
+        let is_visible =
+            move |entry: &&Entry| entry.applied_at_once || entry.received_at.elapsed() >= lag;
+        self.log.iter().take_while(is_visible)
     }
 
-    /// Whether it runs.
     pub fn is_up(&self) -> bool {
-        !self.fault.dead && !self.fault.crashed
+        !self.fault.stopped && !self.fault.crashed
     }
 
-    /// Counts an order; whether there is no time for it.
-    pub fn refuses_order(&mut self) -> bool {
-        self.orders += 1;
-        self.fault.busy || (self.fault.crowded && !self.orders.is_multiple_of(CROWDED_ORDERS))
+    /// Counts a control command and returns whether a fault rejects it.
+    pub fn rejects_command(&mut self) -> bool {
+        self.commands += 1;
+        self.fault.busy
+            || (self.fault.overloaded && !self.commands.is_multiple_of(OVERLOADED_COMMAND_RATIO))
     }
 
-    /// Counts a statement that takes a slot; whether there is no time for it.
-    pub fn refuses_statement(&mut self) -> bool {
+    /// Counts a statement that takes a slot and returns whether a fault rejects it.
+    pub fn rejects_statement(&mut self) -> bool {
         self.statements += 1;
-        let crowded = self.fault.crowded && !self.statements.is_multiple_of(CROWDED_STATEMENTS);
-        self.fault.busy || crowded
+        let overloaded =
+            self.fault.overloaded && !self.statements.is_multiple_of(OVERLOADED_STATEMENT_RATIO);
+        self.fault.busy || overloaded
     }
 
-    fn hears(&self, from: &Self) -> bool {
-        let faults = !self.is_up() || self.fault.cut || self.fault.deaf || from.fault.cut;
-        !faults && self.term <= from.term && self.held <= from.term
+    /// Whether this server accepts entries from `primary`.
+    fn accepts_from(&self, primary: &Self) -> bool {
+        let blocked = !self.is_up()
+            || self.fault.partitioned
+            || self.fault.ignores_replication
+            || primary.fault.partitioned;
+        !blocked && self.term <= primary.term && self.pause_term <= primary.term
     }
 
-    /// Begins another life in which it knows of no hold.
-    fn begin_life(&mut self) {
-        self.life += 1;
-        self.held = 0;
-        self.outranked = None;
+    /// Starts the next incarnation, in which the server is not paused.
+    fn begin_incarnation(&mut self) {
+        self.incarnation += 1;
+        self.pause_term = 0;
+        self.superseded_since = None;
     }
 }
 
-/// A promotion that took effect.
+/// A completed promotion.
 #[derive(Clone, Debug)]
 pub struct Promotion {
     pub server: usize,
     pub term: u64,
-    /// When it took effect.
+    /// When the server became primary.
     pub at: SystemTime,
-    /// What the server had received by then.
+    /// The server's log at that time.
     pub log: Vec<Entry>,
 }
 
 impl Promotion {
-    /// When it took effect, in Unix microseconds.
+    /// Time of the promotion in Unix microseconds.
     pub fn at_us(&self) -> u128 {
         let since = self.at.duration_since(UNIX_EPOCH);
         since.map_or(0, |since| since.as_micros())
@@ -155,84 +167,84 @@
 #[derive(Debug)]
 pub struct Database {
     pub servers: Vec<Server>,
-    /// Those that took effect, in that order.
+    /// Completed promotions in their order.
     pub promotions: Vec<Promotion>,
-    /// For how long the server is crowded that is next called to be promoted.
-    pub heir_crowded: Option<Duration>,
-    /// How long a primary leads on after it has reached a primary of a later term.
-    outranked: Duration,
+    /// How long the server in the next call to the promotion API will be overloaded.
+    pub next_candidate_overload: Option<Duration>,
+    /// Time a primary keeps its role after it first reaches a primary of a higher term.
+    step_down_delay: Duration,
 }
 
 impl Database {
-    /// A group whose first server leads.
-    pub fn new(addresses: &[SocketAddr], settings: Settings) -> Self {
-        let server = |(index, address): (usize, &SocketAddr)| Server {
+    /// Creates a group whose first server is primary in term 1.
+    pub fn new(addrs: &[SocketAddr], settings: Settings) -> Self {
+        let server = |(index, addr): (usize, &SocketAddr)| Server {
             id: format!("i-{index}"),
-            address: *address,
-            born: FIRST_BORN,
-            life: 0,
+            addr: *addr,
+            started_at_ms: INITIAL_START_MS,
+            incarnation: 0,
             primary: index == 0,
             term: 1,
-            held: 0,
+            pause_term: 0,
             log: Vec::new(),
-            outranked: None,
-            orders: 0,
+            superseded_since: None,
+            commands: 0,
             statements: 0,
             connections: 0,
-            turned_away: 0,
+            rejected_connections: 0,
             fault: Fault::default(),
         };
         Self {
-            servers: addresses.iter().enumerate().map(server).collect(),
+            servers: addrs.iter().enumerate().map(server).collect(),
             promotions: Vec::new(),
-            heir_crowded: None,
-            outranked: settings.outranked,
+            next_candidate_overload: None,
+            step_down_delay: settings.step_down_delay,
         }
     }
 
-    /// Writes the servers' entries into the store.
+    /// Writes the servers' registrations to the store.
     pub fn register(&self, store: &mut Store) {
         for server in &self.servers {
             let key = format!("servers/{}", server.id);
-            if server.fault.dead || server.fault.unlisted {
-                store.drop_key(&key);
+            if server.fault.stopped || server.fault.unregistered {
+                store.delete(&key);
                 continue;
             }
             let role = match server.primary {
                 true => "primary",
                 false => "replica",
             };
-            let state = match server.fault.leaving {
+            let state = match server.fault.draining {
                 true => "draining",
                 false => "ready",
             };
-            let entry = json!({ "service": SERVICE, "addr": server.address, "zone": "dc-1",
+            let entry = json!({ "service": SERVICE, "addr": server.addr, "zone": "dc-1",
                 "version": "v1", "slots": 5, "state": state, "cold_left_ms": 0,
-                "db_role": role, "seq": 1, "born": server.born });
+                "db_role": role, "seq": 1, "born": server.started_at_ms });
             store.put(&key, entry.to_string().into_bytes());
         }
     }
 
-    /// Ends the life of a server and starts it again under its id: it holds and knows nothing.
-    pub fn restart(&mut self, index: usize) {
+    /// Restarts a server under its id as a replica in term 1, with its log lost.
+    pub fn restart_empty(&mut self, index: usize) {
         let server = &mut self.servers[index];
-        server.begin_life();
-        server.born += 1;
+        server.begin_incarnation();
+        server.started_at_ms += 1;
         server.primary = false;
         server.term = 1;
         server.log.clear();
     }
 
-    /// Ends the life of a server and starts it again with its log: as a replica if another was promoted
-    /// meanwhile, else as it was.
-    pub fn come_back(&mut self, index: usize) {
+    /// Restarts a server with its log. A primary restarts as a replica unless the last promotion
+    /// was its own or there was none.
+    pub fn restart_with_log(&mut self, index: usize) {
         let newest = self.promotions.last().map_or(0, |last| last.server);
         let server = &mut self.servers[index];
-        server.begin_life();
+        server.begin_incarnation();
         server.primary &= newest == index;
     }
 
-    /// Appends writes to a primary's log and sends them on; returns the position of the last.
+    /// Appends writes to a primary's log and replicates them. Returns the position of the last one.
     pub fn append(&mut self, index: usize, writes: &[(String, String)]) -> (u64, u64) {
         let server = &mut self.servers[index];
         for (item, data) in writes {
@@ -242,8 +254,8 @@
                 number: number + 1,
                 item: item.clone(),
                 data: data.clone(),
-                received: Instant::now(),
-                led: true,
+                received_at: Instant::now(),
+                applied_at_once: true,
             });
         }
         let position = server.position();
@@ -251,7 +263,7 @@
         position
     }
 
-    /// Sends every primary's log to the servers that hear it.
+    /// Copies every primary's log to the servers that accept it as their primary.
     pub fn replicate(&mut self) {
         for from in 0..self.servers.len() {
             let primary = self.servers[from].clone();
@@ -259,43 +271,46 @@
                 continue;
             }
             for to in (0..self.servers.len()).filter(|to| *to != from) {
-                let apart = primary.fault.cut_from == Some(to);
+                let pair_partitioned = primary.fault.partitioned_from == Some(to);
                 let replica = &mut self.servers[to];
-                if apart || replica.fault.cut_from == Some(from) || !replica.hears(&primary) {
+                if pair_partitioned
+                    || replica.fault.partitioned_from == Some(from)
+                    || !replica.accepts_from(&primary)
+                {
                     continue;
                 }
-                if replica.primary && !yields(replica, &primary, self.outranked) {
+                if replica.primary && !steps_down(replica, &primary, self.step_down_delay) {
                     continue;
                 }
-                replica.outranked = None;
+                replica.superseded_since = None;
                 replica.primary = false;
                 replica.term = primary.term;
-                follow(replica, &primary);
+                copy_log(replica, &primary);
             }
         }
     }
 
-    /// How many others have a primary's log up to `position`.
+    /// Number of other servers that have received a primary's log up to `position`.
     pub fn receivers(&self, index: usize, position: (u64, u64)) -> usize {
         let term = self.servers[index].term;
-        let has = |(other, server): &(usize, &Server)| {
+        let has_received = |(other, server): &(usize, &Server)| {
             *other != index && server.term == term && server.position() >= position
         };
-        self.servers.iter().enumerate().filter(has).count()
+        self.servers.iter().enumerate().filter(has_received).count()
     }
 
-    /// Whether a server is the present primary.
-    pub fn leads(&self, index: usize) -> bool {
+    /// Whether a server is the primary with the highest term.
+    pub fn is_current_primary(&self, index: usize) -> bool {
         let primaries = self.servers.iter().filter(|server| server.primary);
         let term = primaries.map(|server| server.term).max();
         let server = &self.servers[index];
         server.primary && Some(server.term) == term
     }
 
-    /// Makes a server the primary of the next term, with what it has received and nothing more. Nothing
-    /// changes if it leads already, or does not run.
+    /// Makes a server primary in the next term, with the entries it has received. Does nothing if
+    /// it is already the current primary or is not running.
     pub fn promote(&mut self, index: usize) {
-        if self.leads(index) || !self.servers[index].is_up() {
+        if self.is_current_primary(index) || !self.servers[index].is_up() {
             return;
         }
         let term = self
@@ -305,14 +320,21 @@
             .max()
             .unwrap_or(0)
             + 1;
-        // A replica held above the new term does not hear of it: it stays held.
-        for server in self.servers.iter_mut().filter(|server| server.held <= term) {
-            server.held = 0;
+        // A replica paused at a higher term rejects the new primary and stays paused.
+        for server in self
+            .servers
+            .iter_mut()
+            .filter(|server| server.pause_term <= term)
+        {
+            server.pause_term = 0;
         }
         let server = &mut self.servers[index];
         server.primary = true;
         server.term = term;
-        server.log.iter_mut().for_each(|entry| entry.led = true);
+        server
+            .log
+            .iter_mut()
+            .for_each(|entry| entry.applied_at_once = true);
         self.promotions.push(Promotion {
             server: index,
             term,
@@ -323,26 +345,33 @@
     }
 }
 
-/// Whether a primary of an earlier term that reaches a later one becomes its replica by now.
-fn yields(earlier: &mut Server, later: &Server, after: Duration) -> bool {
-    let outranked = earlier.term < later.term;
-    outranked && earlier.outranked.get_or_insert_with(Instant::now).elapsed() >= after
+/// Whether a primary has a lower term than `later`, which it can reach, and has known so for
+/// `delay`. Records when it first reached the later primary.
+fn steps_down(earlier: &mut Server, later: &Server, delay: Duration) -> bool {
+    let superseded = earlier.term < later.term;
+    superseded
+        && earlier
+            .superseded_since
+            .get_or_insert_with(Instant::now)
+            .elapsed()
+            >= delay
 }
 
-/// Makes a replica's log that of its primary, keeping when it received what it already had.
-fn follow(replica: &mut Server, primary: &Server) {
-    let same = replica
+/// Makes a replica's log equal to that of its primary. Entries already received keep their
+/// `received_at`.
+fn copy_log(replica: &mut Server, primary: &Server) {
+    let common_len = replica
         .log
         .iter()
         .zip(&primary.log)
         .take_while(|(a, b)| (a.term, a.number) == (b.term, b.number))
         .count();
-    replica.log.truncate(same);
-    for entry in &primary.log[same..] {
-        let received = Instant::now();
+    replica.log.truncate(common_len);
+    for entry in &primary.log[common_len..] {
+        let received_at = Instant::now();
         replica.log.push(Entry {
-            received,
-            led: false,
+            received_at,
+            applied_at_once: false,
             ..entry.clone()
         });
     }
--- a/crates/standin/src/line/http.rs
+++ b/crates/standin/src/line/http.rs
@@ -1,4 +1,4 @@
-//! The store's and the platform's calls over HTTP.
+//! HTTP API of the store and of promotion.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -18,15 +18,15 @@
 };
 
 use super::{
-    store::{Event, Item, Refused},
-    test_api::{self, journal},
+    store::{Event, Item, TxnError},
+    test_api::{self, log_event},
     Shared, SERVICE,
 };
 
-type Answer = (Status, Json<Value>);
+type Response = (Status, Json<Value>);
 
-/// How often leases are swept.
-const SWEEP_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which leases are expired and snapshots taken.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(50);
 
 fn item(item: &Item) -> Value {
     json!({ "key": item.key, "value": STANDARD.encode(&item.value), "rev": item.rev,
@@ -40,48 +40,56 @@
     }
 }
 
-fn status(code: u16) -> Answer {
+fn status(code: u16) -> Response {
     (Status::new(code), Json(json!({})))
 }
 
-/// Runs a call unless the store is down.
-fn call(shared: &Shared, run: impl FnOnce(&mut super::World) -> Answer) -> Answer {
-    shared.change(|world| match world.store.down {
+/// Runs a store call, or answers 503 if the store is down.
+fn call(shared: &Shared, run: impl FnOnce(&mut super::Platform) -> Response) -> Response {
+    shared.update(|platform| match platform.store.down {
         true => status(503),
-        false => run(world),
+        false => run(platform),
     })
 }
 
 #[get("/v1/kv-key?<key>")]
-fn key(shared: &State<Shared>, key: &str) -> Answer {
-    call(shared, |world| match world.store.get(key) {
+fn key(shared: &State<Shared>, key: &str) -> Response {
+    call(shared, |platform| match platform.store.get(key) {
         Some(found) => (Status::Ok, Json(item(found))),
         None => status(404),
     })
 }
 
 #[get("/v1/kv-range?<prefix>")]
-fn range(shared: &State<Shared>, prefix: &str) -> Answer {
-    call(shared, |world| {
-        let items: Vec<Value> = world.store.list(prefix).iter().map(item).collect();
-        let page = json!({ "items": items, "has_more": false, "as_of": world.store.rev });
+fn range(shared: &State<Shared>, prefix: &str) -> Response {
+    call(shared, |platform| {
+        let items: Vec<Value> = platform.store.list(prefix).iter().map(item).collect();
+        let page = json!({ "items": items, "has_more": false, "as_of": platform.store.rev });
         (Status::Ok, Json(page))
     })
 }
 
 #[get("/v1/kv-watch?<prefix>&<after>&<wait_ms>")]
-async fn watch(shared: &State<Shared>, prefix: &str, after: u64, wait_ms: u64) -> Answer {
-    shared.world.lock().expect("no change panics").store.watches += 1;
-    let look = async {
+async fn watch(shared: &State<Shared>, prefix: &str, after: u64, wait_ms: u64) -> Response {
+    shared
+        .platform
+        .lock()
+        .expect("platform lock is not poisoned")
+        .store
+        .watches += 1;
+    let poll = async {
         loop {
             let changed = shared.changed.notified();
             let found = {
-                let world = shared.world.lock().expect("no change panics");
-                if world.store.down {
+                let platform = shared
+                    .platform
+                    .lock()
+                    .expect("platform lock is not poisoned");
+                if platform.store.down {
                     return status(503);
                 }
-                let changes = world.store.changes(prefix, after);
-                (changes, world.store.rev)
+                let changes = platform.store.changes(prefix, after);
+                (changes, platform.store.rev)
             };
             match found {
                 (None, _) => return status(410),
@@ -93,10 +101,15 @@
             }
         }
     };
-    match timeout(Duration::from_millis(wait_ms), look).await {
+    match timeout(Duration::from_millis(wait_ms), poll).await {
         Ok(answer) => answer,
         Err(_) => {
-            let rev = shared.world.lock().expect("no change panics").store.rev;
+            let rev = shared
+                .platform
+                .lock()
+                .expect("platform lock is not poisoned")
+                .store
+                .rev;
             match rev < after {
                 true => status(410),
                 false => (Status::Ok, Json(json!({ "events": [], "as_of": rev }))),
@@ -106,7 +119,7 @@
 }
 
 #[post("/v1/kv-txn", data = "<body>")]
-fn txn(shared: &State<Shared>, body: Json<Value>) -> Answer {
+fn txn(shared: &State<Shared>, body: Json<Value>) -> Response {
     let rows = |name: &str| body[name].as_array().cloned().unwrap_or_default();
     let text = |row: &Value, name: &str| row[name].as_str().unwrap_or_default().to_owned();
     let expected: Vec<(String, u64)> = rows("expect_rev")
@@ -128,44 +141,45 @@
         .iter()
         .filter_map(|key| key.as_str().map(str::to_owned))
         .collect();
-    call(shared, |world| {
-        match world.store.change(&expected, &writes, &remove) {
+    call(shared, |platform| {
+        match platform.store.txn(&expected, &writes, &remove) {
             Ok(rev) => (Status::Ok, Json(json!({ "rev": rev }))),
-            Err(Refused::Conflict) => status(412),
-            Err(Refused::NoLease) => status(404),
+            Err(TxnError::Conflict) => status(412),
+            Err(TxnError::LeaseNotFound) => status(404),
         }
     })
 }
 
 #[post("/v1/kv-lease", data = "<body>")]
-fn lease(shared: &State<Shared>, body: Json<Value>) -> Answer {
+fn lease(shared: &State<Shared>, body: Json<Value>) -> Response {
     let ttl = body["ttl_ms"].as_u64().unwrap_or(1_000);
-    call(shared, |world| {
-        let lease = world.store.grant(Duration::from_millis(ttl));
+    call(shared, |platform| {
+        let lease = platform.store.grant(Duration::from_millis(ttl));
         (Status::Ok, Json(json!({ "lease": lease, "ttl_ms": ttl })))
     })
 }
 
 #[post("/v1/kv-keep/<lease>")]
-fn keep(shared: &State<Shared>, lease: u64) -> Answer {
-    call(shared, |world| match world.store.renew(lease) {
+fn keep(shared: &State<Shared>, lease: u64) -> Response {
+    call(shared, |platform| match platform.store.renew(lease) {
         true => status(200),
         false => status(404),
     })
 }
 
 #[delete("/v1/kv-lease-end/<lease>")]
-fn end(shared: &State<Shared>, lease: u64) -> Answer {
-    call(shared, |world| {
-        world.store.end(lease);
+fn end(shared: &State<Shared>, lease: u64) -> Response {
+    call(shared, |platform| {
+        platform.store.revoke(lease);
         status(200)
     })
 }
-/// The token of a call of the failover duty.
-struct Token(u64);
+
+/// Fencing token from a request's header, or 0 if it is missing or invalid.
+struct FencingToken(u64);
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for Token {
+impl<'r> FromRequest<'r> for FencingToken {
     type Error = ();
 
     async fn from_request(request: &'r Request<'_>) -> Outcome<Self, ()> {
@@ -175,96 +189,107 @@
 }
 
 #[post("/promote", data = "<body>")]
-async fn promote(shared: &State<Shared>, token: Token, body: Json<Value>) -> Status {
+async fn promote(shared: &State<Shared>, token: FencingToken, body: Json<Value>) -> Status {
     if token.0 > 0 {
         shared
-            .world
+            .platform
             .lock()
-            .expect("no change panics")
-            .tokens
+            .expect("platform lock is not poisoned")
+            .fencing_tokens
             .push(token.0);
     }
     let found = {
-        let world = shared.world.lock().expect("no change panics");
-        let wanted = |id: &str| body["id"] == json!(id) && body["service"] == json!(SERVICE);
-        let mut servers = world.database.servers.iter();
-        let index = servers.position(|server| wanted(&server.id) && server.is_up());
+        let platform = shared
+            .platform
+            .lock()
+            .expect("platform lock is not poisoned");
+        let matches = |id: &str| body["id"] == json!(id) && body["service"] == json!(SERVICE);
+        let mut servers = platform.database.servers.iter();
+        let index = servers.position(|server| matches(&server.id) && server.is_up());
         index.map(|index| {
-            let born = world.database.servers[index].born;
-            (index, born, world.database.leads(index))
+            let started_at_ms = platform.database.servers[index].started_at_ms;
+            (
+                index,
+                started_at_ms,
+                platform.database.is_current_primary(index),
+            )
         })
     };
-    let Some((index, born, leads)) = found else {
+    let Some((index, started_at_ms, leads)) = found else {
         return Status::Conflict;
     };
-    tokio::time::sleep(shared.settings.promote).await;
+    tokio::time::sleep(shared.settings.promote_call_duration).await;
     if leads {
         return Status::Ok;
     }
-    journal("promotion called", index, "");
-    let (shared, effect) = (shared.inner().clone(), shared.settings.effect);
-    crowd_heir(&shared, index);
-    match effect.is_zero() {
-        true => take_effect(&shared, index, born),
+    log_event("promotion called", index, "");
+    let (shared, effect_delay) = (
+        shared.inner().clone(),
+        shared.settings.promotion_effect_delay,
+    );
+    overload_candidate(&shared, index);
+    match effect_delay.is_zero() {
+        true => apply_promotion(&shared, index, started_at_ms),
         false => {
             tokio::spawn(async move {
-                tokio::time::sleep(effect).await;
-                take_effect(&shared, index, born);
+                tokio::time::sleep(effect_delay).await;
+                apply_promotion(&shared, index, started_at_ms);
             });
         }
     }
     Status::Ok
 }
 
-/// Crowds the server that was called to be promoted, if an experiment wants that.
-fn crowd_heir(shared: &Shared, index: usize) {
-    let Some(lasts) = shared.change(|world| world.database.heir_crowded.take()) else {
+/// Overloads the server that is to be promoted, if a test has requested it.
+fn overload_candidate(shared: &Shared, index: usize) {
+    let Some(duration) = shared.update(|platform| platform.database.next_candidate_overload.take())
+    else {
         return;
     };
-    crowd(shared, index, true);
+    set_overloaded(shared, index, true);
     let shared = shared.clone();
     tokio::spawn(async move {
-        tokio::time::sleep(lasts).await;
-        crowd(&shared, index, false);
+        tokio::time::sleep(duration).await;
+        set_overloaded(&shared, index, false);
     });
 }
 
-fn crowd(shared: &Shared, index: usize, on: bool) {
-    journal("crowded", index, if on { "on" } else { "off" });
-    shared.change(|world| world.database.servers[index].fault.crowded = on);
+fn set_overloaded(shared: &Shared, index: usize, on: bool) {
+    log_event("crowded", index, if on { "on" } else { "off" });
+    shared.update(|platform| platform.database.servers[index].fault.overloaded = on);
 }
 
-/// A promotion called for at a server that was `born` then. One that has lost its log since is another server:
-/// whoever called could not know of that, and nobody could undo it.
-fn take_effect(shared: &Shared, index: usize, born: u64) {
-    let promoted = shared.change(|world| {
-        let same = world.database.servers[index].born == born;
+/// Promotes a server, unless it has lost its log since the call: `started_at_ms` is its start time
+/// during the call. The caller cannot know of the loss and has no way to cancel the promotion.
+fn apply_promotion(shared: &Shared, index: usize, started_at_ms: u64) {
+    let promoted = shared.update(|platform| {
+        let same = platform.database.servers[index].started_at_ms == started_at_ms;
         if same {
-            world.database.promote(index);
+            platform.database.promote(index);
         }
         same
     });
     if promoted {
-        journal("promotion in effect", index, "");
+        log_event("promotion in effect", index, "");
     }
 }
 
-/// Serves all calls on one address, printed as the first line of standard output.
+/// Serves all routes on a port chosen by the OS and prints the address as the first line on stdout.
 pub async fn serve(host: IpAddr, shared: Shared) -> Result<(), rocket::Error> {
     let figment = rocket::Config::figment()
         .merge(("address", host))
         .merge(("port", 0))
         .merge(("log_level", "off"));
-    let sweeping = shared.clone();
+    let background = shared.clone();
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(SWEEP_EVERY).await;
-            sweeping.change(|world| {
-                world.store.sweep();
-                world.store.copy();
-                // An outranked primary has to notice the end of its time also when nobody writes.
-                if !sweeping.settings.outranked.is_zero() {
-                    world.database.replicate();
+            tokio::time::sleep(MAINTENANCE_INTERVAL).await;
+            background.update(|platform| {
+                platform.store.expire_leases();
+                platform.store.snapshot();
+                // Lets a superseded primary step down even if there are no writes.
+                if !background.settings.step_down_delay.is_zero() {
+                    platform.database.replicate();
                 }
             });
         }
@@ -281,7 +306,12 @@
             |request, response| {
                 Box::pin(async move {
                     if let Some(shared) = request.rocket().state::<Shared>() {
-                        let era = shared.world.lock().expect("no change panics").store.era;
+                        let era = shared
+                            .platform
+                            .lock()
+                            .expect("platform lock is not poisoned")
+                            .store
+                            .era;
                         response.set_raw_header("Store-Era", era.to_string());
                     }
                 })
--- a/crates/standin/src/line/store.rs
+++ b/crates/standin/src/line/store.rs
@@ -1,11 +1,11 @@
-//! The store: keys with revisions, a history for watches, and leases.
+//! The platform's store: keys with revisions, a change history for watches, and leases.
 
 use std::{
     collections::{BTreeMap, VecDeque},
     time::{Duration, Instant},
 };
 
-/// A key's value.
+/// A key with its value, revisions and lease (0 if it has none).
 #[derive(Clone, Debug)]
 pub struct Item {
     pub key: String,
@@ -15,7 +15,7 @@
     pub lease: u64,
 }
 
-/// A change: the item as written, or its key and revision if it was removed.
+/// A change of one key.
 #[derive(Clone, Debug)]
 pub enum Event {
     Written(Item),
@@ -38,53 +38,52 @@
     }
 }
 
-/// How often a copy is made, and how many are kept.
-const COPY_EVERY: Duration = Duration::from_millis(100);
-const COPIES: usize = 100;
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_SNAPSHOTS: usize = 100;
 
-/// Leases have numbers that say nothing of revisions, and are far larger.
-const FIRST_LEASE: u64 = 1 << 50;
+/// Added to a revision to form a lease id, so that lease ids are far above all revisions.
+const LEASE_ID_BASE: u64 = 1 << 50;
 
-/// What the store held at some moment.
+/// Contents of the store at one point in time, without its leases.
 #[derive(Debug)]
-struct Copy {
-    made: Instant,
+struct Snapshot {
+    taken_at: Instant,
     rev: u64,
     items: BTreeMap<String, Item>,
 }
 
-/// The store's state.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// How often it has come back from a copy.
+    /// Number of restores from a snapshot.
     pub era: u64,
-    copies: VecDeque<Copy>,
+    snapshots: VecDeque<Snapshot>,
     pub rev: u64,
     items: BTreeMap<String, Item>,
     history: Vec<Event>,
-    /// Changes up to this revision are forgotten.
-    compacted: u64,
+    /// Changes up to this revision are no longer in the history.
+    compacted_rev: u64,
+    /// Deadline and TTL by lease id.
     leases: BTreeMap<u64, (Instant, Duration)>,
-    /// Every call is answered 503.
+    /// Fault: every call fails with 503.
     pub down: bool,
-    /// How many calls waited for changes so far.
+    /// Number of watch calls so far.
     pub watches: usize,
 }
 
-/// Why a conditional change was not made.
+/// Reason a transaction was not applied.
 #[derive(Debug)]
-pub enum Refused {
+pub enum TxnError {
+    /// A key is not at its expected revision.
     Conflict,
-    NoLease,
+    LeaseNotFound,
 }
 
 impl Store {
-    /// The item at `key`.
     pub fn get(&self, key: &str) -> Option<&Item> {
         self.items.get(key)
     }
 
-    /// All items whose keys start with `prefix`.
+    /// Returns all items whose keys start with `prefix`.
     pub fn list(&self, prefix: &str) -> Vec<Item> {
         let items = self.items.values();
         items
@@ -93,9 +92,10 @@
             .collect()
     }
 
-    /// The changes after `after` under `prefix`; `None` if they are forgotten.
+    /// Returns the changes under `prefix` after revision `after`, or `None` if the history does not
+    /// cover them or the revision does not exist.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<Event>> {
-        if after < self.compacted || after > self.rev {
+        if after < self.compacted_rev || after > self.rev {
             return None;
         }
         let events = self.history.iter();
@@ -103,22 +103,25 @@
         Some(wanted.cloned().collect())
     }
 
-    /// Writes and removes all, or nothing.
-    pub fn change(
+    /// Applies all writes and removals at one new revision, which it returns, or none of them. A
+    /// write is a key, a value and a lease. Every key in `expected` must be at the given revision,
+    /// 0 meaning that it does not exist.
+    pub fn txn(
         &mut self,
         expected: &[(String, u64)],
         writes: &[(String, Vec<u8>, u64)],
         remove: &[String],
-    ) -> Result<u64, Refused> {
-        let holds = |(key, rev): &(String, u64)| self.get(key).map_or(0, |item| item.rev) == *rev;
-        if !expected.iter().all(holds) {
-            return Err(Refused::Conflict);
+    ) -> Result<u64, TxnError> {
+        let is_current =
+            |(key, rev): &(String, u64)| self.get(key).map_or(0, |item| item.rev) == *rev;
+        if !expected.iter().all(is_current) {
+            return Err(TxnError::Conflict);
         }
         if writes
             .iter()
             .any(|(_, _, lease)| *lease != 0 && !self.leases.contains_key(lease))
         {
-            return Err(Refused::NoLease);
+            return Err(TxnError::LeaseNotFound);
         }
         self.rev += 1;
         for (key, value, lease) in writes {
@@ -130,7 +133,7 @@
         Ok(self.rev)
     }
 
-    /// Writes one key at a new revision, unless the value is the same.
+    /// Writes one key without a lease at a new revision, unless it already has this value.
     pub fn put(&mut self, key: &str, value: Vec<u8>) {
         if self.get(key).is_some_and(|item| item.value == value) {
             return;
@@ -139,8 +142,8 @@
         self.write(key, value, 0);
     }
 
-    /// Removes one key at a new revision.
-    pub fn drop_key(&mut self, key: &str) {
+    /// Removes one key at a new revision, if it exists.
+    pub fn delete(&mut self, key: &str) {
         if self.items.contains_key(key) {
             self.rev += 1;
             self.remove(key);
@@ -168,67 +171,73 @@
         }
     }
 
-    /// Makes a copy if it is time to.
-    pub fn copy(&mut self) {
-        let made = Instant::now();
+    /// Takes a snapshot if the last one is older than [`SNAPSHOT_INTERVAL`].
+    pub fn snapshot(&mut self) {
+        let taken_at = Instant::now();
         if self
-            .copies
+            .snapshots
             .back()
-            .is_some_and(|last| last.made + COPY_EVERY > made)
+            .is_some_and(|last| last.taken_at + SNAPSHOT_INTERVAL > taken_at)
         {
             return;
         }
-        self.copies.push_back(Copy {
-            made,
+        self.snapshots.push_back(Snapshot {
+            taken_at,
             rev: self.rev,
             items: self.items.clone(),
         });
-        if self.copies.len() > COPIES {
-            self.copies.pop_front();
+        if self.snapshots.len() > MAX_SNAPSHOTS {
+            self.snapshots.pop_front();
         }
     }
 
-    /// Comes back from the newest copy of at least this `age`, without leases and what lay under them.
+    /// Restores the newest snapshot that is at least `age` old, or the oldest one. Drops all
+    /// leases, the keys attached to them, and the change history.
     pub fn restore(&mut self, age: Duration) {
-        while self.copies.len() > 1 && self.copies.back().is_some_and(|c| c.made.elapsed() < age) {
-            self.copies.pop_back();
+        while self.snapshots.len() > 1
+            && self
+                .snapshots
+                .back()
+                .is_some_and(|c| c.taken_at.elapsed() < age)
+        {
+            self.snapshots.pop_back();
         }
-        let Some(copy) = self.copies.back() else {
+        let Some(snapshot) = self.snapshots.back() else {
             return;
         };
-        self.rev = copy.rev;
-        self.items = copy.items.clone();
+        self.rev = snapshot.rev;
+        self.items = snapshot.items.clone();
         self.items.retain(|_, item| item.lease == 0);
         self.leases.clear();
         self.compact();
         self.era += 1;
     }
 
-    /// Forgets the history.
+    /// Discards the change history.
     pub fn compact(&mut self) {
-        self.compacted = self.rev;
+        self.compacted_rev = self.rev;
         self.history.clear();
     }
 
-    /// Takes a lease.
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self, ttl: Duration) -> u64 {
         self.rev += 1;
-        let lease = FIRST_LEASE + self.rev;
+        let lease = LEASE_ID_BASE + self.rev;
         self.leases.insert(lease, (Instant::now() + ttl, ttl));
         lease
     }
 
-    /// Renews a lease; `false` if it has ended.
+    /// Renews a lease for its TTL; `false` if it does not exist.
     pub fn renew(&mut self, lease: u64) -> bool {
-        let Some((until, ttl)) = self.leases.get_mut(&lease) else {
+        let Some((deadline, ttl)) = self.leases.get_mut(&lease) else {
             return false;
         };
-        *until = Instant::now() + *ttl;
+        *deadline = Instant::now() + *ttl;
         true
     }
 
-    /// Ends a lease and removes its keys.
-    pub fn end(&mut self, lease: u64) {
+    /// Removes a lease and the keys attached to it.
+    pub fn revoke(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
             .items
@@ -237,21 +246,21 @@
             .map(|item| item.key.clone())
             .collect();
         for key in keys {
-            self.drop_key(&key);
+            self.delete(&key);
         }
     }
 
-    /// Ends the leases whose time is up.
-    pub fn sweep(&mut self) {
+    /// Revokes the leases whose deadline has passed.
+    pub fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (until, _))| *until <= now)
+            .filter(|(_, (deadline, _))| *deadline <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        for lease in over {
-            self.end(lease);
+        for lease in expired {
+            self.revoke(lease);
         }
     }
 }
--- a/crates/standin/src/line/test_api.rs
+++ b/crates/standin/src/line/test_api.rs
@@ -1,4 +1,4 @@
-//! The experiment's own calls, under `/test`: configurations, faults, and what became of the group.
+//! Routes for tests, under `/test`: configuration, fault injection and the state of the group.
 
 use std::time::Duration;
 
@@ -18,138 +18,152 @@
     Shared,
 };
 
-/// How long after the store came back from a copy the operators write what it lacks.
-const OPERATORS_RETURN: Duration = Duration::from_millis(300);
+/// Delay after a restore of the store until the operators write their configuration again.
+const CONFIG_REWRITE_DELAY: Duration = Duration::from_millis(300);
 
-/// All of the experiment's calls.
 pub fn routes() -> Vec<Route> {
-    routes![config, fault, restart, entry, store, group, cut_from, promotions, heir, restore]
+    routes![
+        config,
+        fault,
+        restart,
+        registration,
+        store,
+        group,
+        partition_from,
+        promotions,
+        overload_next_candidate,
+        restore
+    ]
 }
 
-/// Prints what was done to a server, with the time as the proxies' log lines give it.
-pub fn journal(what: &str, server: usize, more: &str) {
+/// Prints an event of a server on stdout as JSON. The timestamp is the system's uptime, as in the
+/// proxies' log lines.
+pub fn log_event(event: &str, server: usize, detail: &str) {
     let uptime = std::fs::read_to_string("/proc/uptime").unwrap_or_default();
     let seconds = uptime.split(' ').next().and_then(|text| text.parse().ok());
     let at_ms = (seconds.unwrap_or(0.0_f64) * 1_000.0) as u64;
-    let line = json!({ "at_ms": at_ms, "standin": what, "server": server, "more": more });
+    let line = json!({ "at_ms": at_ms, "standin": event, "server": server, "more": detail });
     crate::announce(&line.to_string());
 }
 
-/// Puts a configuration, as the operators do.
+/// Writes the operators' configuration to the store.
 #[put("/config", data = "<body>")]
 fn config(shared: &State<Shared>, body: String) {
-    shared.change(|world| {
-        world.config = body.into_bytes();
-        world.store.put("op/config", world.config.clone());
+    shared.update(|platform| {
+        platform.config = body.into_bytes();
+        platform.store.put("op/config", platform.config.clone());
     });
 }
 
-/// Brings the store back from a copy of this age in milliseconds. The operators put their configuration
-/// again some time later.
+/// Restores the store from a snapshot that is at least this old. The operators write their
+/// configuration again after [`CONFIG_REWRITE_DELAY`].
 #[put("/restore/<age_ms>")]
 async fn restore(shared: &State<Shared>, age_ms: u64) {
-    journal("store restored", 0, &age_ms.to_string());
-    shared.change(|world| world.store.restore(Duration::from_millis(age_ms)));
+    log_event("store restored", 0, &age_ms.to_string());
+    shared.update(|platform| platform.store.restore(Duration::from_millis(age_ms)));
     let shared = shared.inner().clone();
     rocket::tokio::spawn(async move {
-        rocket::tokio::time::sleep(OPERATORS_RETURN).await;
-        shared.change(|world| world.store.put("op/config", world.config.clone()));
+        rocket::tokio::time::sleep(CONFIG_REWRITE_DELAY).await;
+        shared.update(|platform| platform.store.put("op/config", platform.config.clone()));
     });
 }
 
-/// Starts a server again under its id, with nothing of its earlier life.
+/// Restarts a server under its id, with its log lost.
 #[put("/server/<index>/restart", rank = 1)]
 fn restart(shared: &State<Shared>, index: usize) -> Status {
-    journal("restart", index, "");
-    shared.change(|world| match index < world.database.servers.len() {
+    log_event("restart", index, "");
+    shared.update(|platform| match index < platform.database.servers.len() {
         true => {
-            world.database.restart(index);
+            platform.database.restart_empty(index);
             Status::Ok
         }
         false => Status::NotFound,
     })
 }
 
-/// Puts an entry among the registrations, as another writer would.
+/// Writes a server registration to the store, as another writer would.
 #[put("/entry/<id>", data = "<body>")]
-fn entry(shared: &State<Shared>, id: &str, body: Vec<u8>) {
-    shared.change(|world| world.store.put(&format!("servers/{id}"), body));
+fn registration(shared: &State<Shared>, id: &str, body: Vec<u8>) {
+    shared.update(|platform| platform.store.put(&format!("servers/{id}"), body));
 }
 
-/// Changes one fault of one server.
+/// Sets or clears a fault of one server.
 #[put("/server/<index>/<fault>/<on>")]
 fn fault(shared: &State<Shared>, index: usize, fault: &str, on: bool) -> Status {
-    journal(fault, index, if on { "on" } else { "off" });
-    shared.change(|world| {
-        let Some(server) = world.database.servers.get_mut(index) else {
+    log_event(fault, index, if on { "on" } else { "off" });
+    shared.update(|platform| {
+        let Some(server) = platform.database.servers.get_mut(index) else {
             return Status::NotFound;
         };
         let Fault {
-            dead,
-            silent,
+            stopped,
+            unresponsive,
             crashed,
-            cut,
-            cut_from: _,
-            deaf,
-            leaving,
-            unlisted,
+            partitioned,
+            partitioned_from: _,
+            ignores_replication,
+            draining,
+            unregistered,
             busy,
-            crowded,
+            overloaded,
         } = &mut server.fault;
         let flag = match fault {
-            "dead" => dead,
-            "silent" => silent,
+            "dead" => stopped,
+            "silent" => unresponsive,
             "crashed" => crashed,
-            "cut" => cut,
-            "deaf" => deaf,
-            "leaving" => leaving,
-            "unlisted" => unlisted,
+            "cut" => partitioned,
+            "deaf" => ignores_replication,
+            "leaving" => draining,
+            "unlisted" => unregistered,
             "busy" => busy,
-            "crowded" => crowded,
+            "crowded" => overloaded,
             _ => return Status::NotFound,
         };
-        let comes_back = std::mem::replace(flag, on) && !on && fault == "crashed";
-        if comes_back {
-            world.database.come_back(index);
+        let restarts = std::mem::replace(flag, on) && !on && fault == "crashed";
+        if restarts {
+            platform.database.restart_with_log(index);
         }
         Status::Ok
     })
 }
 
-/// Cuts a server off from one other, or joins them again.
+/// Partitions a server from one other server, or ends that partition.
 #[put("/server/<index>/cut_from/<other>/<on>")]
-fn cut_from(shared: &State<Shared>, index: usize, other: usize, on: bool) -> Status {
-    journal("cut from", index, &format!("{other} {on}"));
-    shared.change(|world| match world.database.servers.get_mut(index) {
+fn partition_from(shared: &State<Shared>, index: usize, other: usize, on: bool) -> Status {
+    log_event("cut from", index, &format!("{other} {on}"));
+    shared.update(|platform| match platform.database.servers.get_mut(index) {
         Some(server) => {
-            server.fault.cut_from = on.then_some(other);
+            server.fault.partitioned_from = on.then_some(other);
             Status::Ok
         }
         None => Status::NotFound,
     })
 }
 
-/// Has the server that is next called to be promoted crowded from that call on.
-#[put("/heir/<crowded_ms>")]
-fn heir(shared: &State<Shared>, crowded_ms: u64) {
-    let lasts = Duration::from_millis(crowded_ms);
-    shared.change(|world| world.database.heir_crowded = Some(lasts));
+/// Overloads the server of the next promotion call, for this long from that call on.
+#[put("/heir/<overload_ms>")]
+fn overload_next_candidate(shared: &State<Shared>, overload_ms: u64) {
+    let duration = Duration::from_millis(overload_ms);
+    shared.update(|platform| platform.database.next_candidate_overload = Some(duration));
 }
 
-/// Takes the store down or brings it back, or makes it forget its history.
+/// Sets or clears the store's `down` fault, or discards its change history.
 #[put("/store/<what>/<on>")]
 fn store(shared: &State<Shared>, what: &str, on: bool) {
-    shared.change(|world| match what {
-        "down" => world.store.down = on,
-        _ => world.store.compact(),
+    shared.update(|platform| match what {
+        "down" => platform.store.down = on,
+        _ => platform.store.compact(),
     });
 }
 
-/// Who leads with the highest term, its log, and how many promotions there were.
+/// Returns the primary with the highest term, its log, and counters of the group and the store.
 #[get("/group")]
 fn group(shared: &State<Shared>) -> Json<Value> {
-    let world = shared.world.lock().expect("no change panics");
-    let servers = &world.database.servers;
+    let platform = shared
+        .platform
+        .lock()
+        .expect("platform lock is not poisoned");
+    let servers = &platform.database.servers;
     let leaders = servers
         .iter()
         .enumerate()
@@ -163,21 +177,24 @@
     });
     Json(
         json!({ "leader": leader.map(|(index, _)| index), "log": log,
-        "promotions": world.database.promotions.len(), "tokens": world.tokens, "era": world.store.era, "watches": world.store.watches,
-        "addresses": servers.iter().map(|server| server.address).collect::<Vec<_>>(),
-        "turned_away": servers.iter().map(|server| server.turned_away).sum::<usize>() }),
+        "promotions": platform.database.promotions.len(), "tokens": platform.fencing_tokens, "era": platform.store.era, "watches": platform.store.watches,
+        "addresses": servers.iter().map(|server| server.addr).collect::<Vec<_>>(),
+        "turned_away": servers.iter().map(|server| server.rejected_connections).sum::<usize>() }),
     )
 }
 
-/// The promotions in the order in which they took effect, each with the log of its server by then.
+/// Returns the promotions in their order, each with the server's log at that time.
 #[get("/promotions")]
 fn promotions(shared: &State<Shared>) -> Json<Value> {
-    let world = shared.world.lock().expect("no change panics");
-    let one = |promotion: &Promotion| {
+    let platform = shared
+        .platform
+        .lock()
+        .expect("platform lock is not poisoned");
+    let to_json = |promotion: &Promotion| {
         let log = promotion.log.iter();
         let log: Vec<Value> = log.map(|e| json!([e.item, e.data])).collect();
         json!({ "server": promotion.server, "term": promotion.term, "at_us": promotion.at_us() as u64,
             "log": log })
     };
-    Json(world.database.promotions.iter().map(one).collect())
+    Json(platform.database.promotions.iter().map(to_json).collect())
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -125,10 +125,10 @@
                 max_connections,
                 servers: servers.max(1),
                 lag: Duration::from_millis(lag_ms),
-                sync,
-                promote: Duration::from_millis(promote_ms),
-                effect: Duration::from_millis(effect_ms),
-                outranked: Duration::from_millis(outranked_ms),
+                sync_replicas: sync,
+                promote_call_duration: Duration::from_millis(promote_ms),
+                promotion_effect_delay: Duration::from_millis(effect_ms),
+                step_down_delay: Duration::from_millis(outranked_ms),
             };
             let outcome = line::serve(host, settings).await;
             outcome.map_err(|error| error.to_string())
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -1,5 +1,5 @@
-//! Fake of the platform's VM list, served as JSON over HTTP with `rocket`. Responses carry an `ETag`,
-//! so that clients fetch the list only when it has changed.
+//! Fake of the platform's VM list, served as JSON over HTTP with `rocket`. Responses carry an
+//! `ETag`, so that clients fetch the list only when it has changed.
 
 use std::{net::SocketAddr, sync::Mutex};
 
