--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -89,13 +89,13 @@
 type Server<P> = (rocket::Rocket<P>, oneshot::Receiver<String>);
 
 fn rocket(addr: SocketAddr, state: State) -> Server<rocket::Build> {
-    let (bound, url) = oneshot::channel();
+    let (url_tx, url) = oneshot::channel();
     let figment = rocket::Config::figment()
         .merge(("address", addr.ip()))
         .merge(("port", addr.port()))
         .merge(("log_level", "off"))
         .merge(("shutdown.ctrlc", false));
-    let bound = Mutex::new(Some(bound));
+    let url_tx = Mutex::new(Some(url_tx));
     let server = rocket::custom(figment)
         .manage(state)
         .mount("/", routes::all())
@@ -112,8 +112,8 @@
         ))
         .attach(rocket::fairing::AdHoc::on_liftoff("bound", move |rocket| {
             let config = rocket.config();
-            if let Some(bound) = bound.lock().unwrap().take() {
-                let _ = bound.send(format!("http://{}:{}", config.address, config.port));
+            if let Some(url_tx) = url_tx.lock().unwrap().take() {
+                let _ = url_tx.send(format!("http://{}:{}", config.address, config.port));
             }
             Box::pin(async {})
         }));
--- a/crates/standin/src/line/connection.rs
+++ b/crates/standin/src/line/connection.rs
@@ -55,7 +55,7 @@
     incarnation: u64,
     shared: Shared,
     transaction: Option<Transaction>,
-    /// Prepared statements: verbs by name.
+    /// Texts of prepared statements by name. `EXEC` uses only the verb of the text.
     prepared: BTreeMap<String, String>,
     /// Session parameters set with `SET`.
     session_values: BTreeMap<String, String>,
--- a/crates/standin/src/line/database.rs
+++ b/crates/standin/src/line/database.rs
@@ -36,7 +36,7 @@
 /// Faults of one server, set by tests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fault {
-    /// Closes all connections, accepts none, and is removed from the store.
+    /// Closes all connections and has no registration in the store.
     pub stopped: bool,
     /// Reads requests but does not answer them.
     pub unresponsive: bool,
@@ -53,9 +53,9 @@
     pub draining: bool,
     /// Runs, but has no registration in the store.
     pub unregistered: bool,
-    /// Rejects all control commands and statements that take a slot.
+    /// Rejects all control commands and all statements that need a slot.
     pub busy: bool,
-    /// Rejects most control commands and statements that take a slot.
+    /// Rejects most control commands and most statements that need a slot.
     pub overloaded: bool,
 }
 
@@ -77,7 +77,7 @@
     pub log: Vec<Entry>,
     /// When this primary first reached a primary of a higher term.
     superseded_since: Option<Instant>,
-    /// Number of control commands and statements that took a slot, rejected ones included.
+    /// Number of control commands and of statements that need a slot, rejected ones included.
     commands: usize,
     statements: usize,
     pub connections: usize,
@@ -119,7 +119,7 @@
             || (self.fault.overloaded && !self.commands.is_multiple_of(OVERLOADED_COMMAND_RATIO))
     }
 
-    /// Counts a statement that takes a slot and returns whether a fault rejects it.
+    /// Counts a statement that needs a slot and returns whether a fault rejects it.
     pub fn rejects_statement(&mut self) -> bool {
         self.statements += 1;
         let overloaded =
--- a/crates/standin/src/line/http.rs
+++ b/crates/standin/src/line/http.rs
@@ -45,7 +45,7 @@
 }
 
 /// Runs a store call, or answers 503 if the store is down.
-fn call(shared: &Shared, run: impl FnOnce(&mut super::Platform) -> Response) -> Response {
+fn run_store_call(shared: &Shared, run: impl FnOnce(&mut super::Platform) -> Response) -> Response {
     shared.update(|platform| match platform.store.down {
         true => status(503),
         false => run(platform),
@@ -54,7 +54,7 @@
 
 #[get("/v1/kv-key?<key>")]
 fn key(shared: &State<Shared>, key: &str) -> Response {
-    call(shared, |platform| match platform.store.get(key) {
+    run_store_call(shared, |platform| match platform.store.get(key) {
         Some(found) => (Status::Ok, Json(item(found))),
         None => status(404),
     })
@@ -62,7 +62,7 @@
 
 #[get("/v1/kv-range?<prefix>")]
 fn range(shared: &State<Shared>, prefix: &str) -> Response {
-    call(shared, |platform| {
+    run_store_call(shared, |platform| {
         let items: Vec<Value> = platform.store.list(prefix).iter().map(item).collect();
         let page = json!({ "items": items, "has_more": false, "as_of": platform.store.rev });
         (Status::Ok, Json(page))
@@ -141,7 +141,7 @@
         .iter()
         .filter_map(|key| key.as_str().map(str::to_owned))
         .collect();
-    call(shared, |platform| {
+    run_store_call(shared, |platform| {
         match platform.store.txn(&expected, &writes, &remove) {
             Ok(rev) => (Status::Ok, Json(json!({ "rev": rev }))),
             Err(TxnError::Conflict) => status(412),
@@ -153,23 +153,23 @@
 #[post("/v1/kv-lease", data = "<body>")]
 fn lease(shared: &State<Shared>, body: Json<Value>) -> Response {
     let ttl = body["ttl_ms"].as_u64().unwrap_or(1_000);
-    call(shared, |platform| {
+    run_store_call(shared, |platform| {
         let lease = platform.store.grant(Duration::from_millis(ttl));
         (Status::Ok, Json(json!({ "lease": lease, "ttl_ms": ttl })))
     })
 }
 
 #[post("/v1/kv-keep/<lease>")]
-fn keep(shared: &State<Shared>, lease: u64) -> Response {
-    call(shared, |platform| match platform.store.renew(lease) {
+fn renew_lease(shared: &State<Shared>, lease: u64) -> Response {
+    run_store_call(shared, |platform| match platform.store.renew(lease) {
         true => status(200),
         false => status(404),
     })
 }
 
 #[delete("/v1/kv-lease-end/<lease>")]
-fn end(shared: &State<Shared>, lease: u64) -> Response {
-    call(shared, |platform| {
+fn revoke_lease(shared: &State<Shared>, lease: u64) -> Response {
+    run_store_call(shared, |platform| {
         platform.store.revoke(lease);
         status(200)
     })
@@ -298,7 +298,16 @@
         .manage(shared)
         .mount(
             "/",
-            routes![key, range, watch, txn, lease, keep, end, promote],
+            routes![
+                key,
+                range,
+                watch,
+                txn,
+                lease,
+                renew_lease,
+                revoke_lease,
+                promote
+            ],
         )
         .mount("/test", test_api::routes())
         .attach(rocket::fairing::AdHoc::on_response(
