--- a/crates/standin/src/group/connection.rs
+++ b/crates/standin/src/group/connection.rs
@@ -43,8 +43,8 @@
     silence_count: u64,
     /// Buffered writes of the open transaction, or `None` if no transaction is open.
     transaction_ops: Mutex<Option<Vec<Op>>>,
-    /// Session parameters set with `SET`.
-    session_values: Mutex<Map<String, String>>,
+    /// Session variables set with `SET`.
+    session_variables: Mutex<Map<String, String>>,
 }
 
 impl Connection {
@@ -57,7 +57,7 @@
             silence_count,
             dc: Mutex::new(String::new()),
             transaction_ops: Mutex::new(None),
-            session_values: Mutex::new(Map::default()),
+            session_variables: Mutex::new(Map::default()),
         })
     }
 
@@ -107,11 +107,11 @@
                 text_rows(&names, vec![values])
             }
             Command::Set(name, value) => {
-                self.session_values.lock().unwrap().insert(name, value);
+                self.session_variables.lock().unwrap().insert(name, value);
                 Ok(Response::Execution(Tag::new("SET")))
             }
             Command::Discard => {
-                self.session_values.lock().unwrap().clear();
+                self.session_variables.lock().unwrap().clear();
                 Ok(Response::Execution(Tag::new("DISCARD ALL")))
             }
             Command::Show(name) => self.show(&name),
@@ -269,7 +269,7 @@
                 text_rows(&["position", "id"], rows)
             }
             "dandelionpitch.server" => text_rows(&["server"], vec![vec![self.index.to_string()]]),
-            other => match self.session_values.lock().unwrap().get(other) {
+            other => match self.session_variables.lock().unwrap().get(other) {
                 Some(value) => text_rows(&[other], vec![vec![value.clone()]]),
                 None => Err(error("42704", format!("unrecognized parameter {other:?}"))),
             },
--- a/crates/standin/src/group/sql.rs
+++ b/crates/standin/src/group/sql.rs
@@ -1,5 +1,5 @@
 //! SQL subset of the fake database server: the table `ledger (id, body)`, transactions, session
-//! parameters, status queries and control functions. Statements are parsed by `sqlparser`.
+//! variables, status queries and control functions. Statements are parsed by `sqlparser`.
 
 use sqlparser::{
     ast::{
@@ -24,11 +24,11 @@
     Select(Option<String>),
     /// Selects literal values, such as `SELECT 1`.
     Literal(Vec<String>),
-    /// `SHOW name`: server state (`dandelionpitch.<name>`) or a session parameter.
+    /// `SHOW name`: server state (`dandelionpitch.<name>`) or a session variable.
     Show(String),
-    /// `SET name = value`: sets a session parameter.
+    /// `SET name = value`: sets a session variable.
     Set(String, String),
-    /// `DISCARD ALL`: clears the session parameters.
+    /// `DISCARD ALL`: clears the session variables.
     Discard,
     /// `SELECT dandelionpitch_barrier()`: returns the position after replicas confirmed leadership.
     Barrier,
--- a/crates/standin/src/line/connection.rs
+++ b/crates/standin/src/line/connection.rs
@@ -37,7 +37,7 @@
             shared: shared.clone(),
             transaction: None,
             prepared: BTreeMap::new(),
-            session_values: BTreeMap::new(),
+            session_variables: BTreeMap::new(),
         };
         tokio::spawn(connection.run(stream));
     }
@@ -55,10 +55,10 @@
     incarnation: u64,
     shared: Shared,
     transaction: Option<Transaction>,
-    /// Texts of prepared statements by name. `EXEC` uses only the verb of the text.
+    /// Definitions of prepared statements by name. `EXEC` uses only the verb of the definition.
     prepared: BTreeMap<String, String>,
-    /// Session parameters set with `SET`.
-    session_values: BTreeMap<String, String>,
+    /// Session variables set with `SET`.
+    session_variables: BTreeMap<String, String>,
 }
 
 /// Result rows, or an error code and its text.
@@ -198,14 +198,14 @@
             }
             (verb, rest) = query.split_once(' ').unwrap_or((query, ""));
         }
-        let template;
+        let definition;
         if verb == "EXEC" {
             let (name, arguments) = rest.split_once(' ').unwrap_or((rest, ""));
-            let Some(prepared_text) = self.prepared.get(name) else {
+            let Some(prepared_definition) = self.prepared.get(name) else {
                 return Some(Err(("NOSTMT", name.to_owned())));
             };
-            template = prepared_text.clone();
-            verb = template.split(' ').next().unwrap_or_default();
+            definition = prepared_definition.clone();
+            verb = definition.split(' ').next().unwrap_or_default();
             rest = arguments;
         }
         if self.rejects(verb) {
@@ -215,18 +215,18 @@
             "STATUS" | "PAUSE" | "RESUME" | "STEPDOWN" => Ok(vec![self.run_command(verb, rest)]),
             "SET" => {
                 let (name, value) = rest.split_once(' ').unwrap_or((rest, ""));
-                self.session_values
+                self.session_variables
                     .insert(name.to_owned(), value.to_owned());
                 Ok(Vec::new())
             }
             "RESET" => {
-                self.session_values.clear();
+                self.session_variables.clear();
                 self.prepared.clear();
                 Ok(Vec::new())
             }
             "PREPARE" => {
-                let (name, template) = rest.split_once(' ')?;
-                self.prepared.insert(name.to_owned(), template.to_owned());
+                let (name, definition) = rest.split_once(' ')?;
+                self.prepared.insert(name.to_owned(), definition.to_owned());
                 Ok(Vec::new())
             }
             "BEGIN" => {
@@ -255,7 +255,7 @@
     }
 
     /// Returns a row with the item's data, or `-` if it does not exist, followed by a row for each
-    /// session parameter.
+    /// session variable.
     async fn fetch(&mut self, item: &str) -> Outcome {
         sleep(STATEMENT_DURATION).await;
         let lag = self.shared.settings.lag;
@@ -277,7 +277,7 @@
         let data = own.or(stored).unwrap_or_else(|| "-".to_owned());
         let mut rows = vec![data];
         rows.extend(
-            self.session_values
+            self.session_variables
                 .iter()
                 .map(|(name, value)| format!("{name}={value}")),
         );
