--- a/crates/proxy/benches/control.rs
+++ b/crates/proxy/benches/control.rs
@@ -11,7 +11,7 @@
 use dandelionpitch_core::bundle::Bundle;
 use dandelionpitch_proxy::{
     config::Config,
-    control::duty::{Member, Roster},
+    control::assignment::{Member, Roster},
     pool,
 };
 use measure::{median, resident};
--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -116,10 +116,10 @@
             _ => Role::Replica,
         },
         term: column(&row, "term")?,
-        log: log_number(&row)?,
+        log_id: log_number(&row)?,
         position: column(&row, "position")?,
         lag: Duration::from_millis(column(&row, "lag_ms")?),
-        silent: Duration::from_millis(column(&row, "silent_ms")?),
+        silence: Duration::from_millis(column(&row, "silent_ms")?),
         read_at,
     })
 }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -6,16 +6,16 @@
 //! published views (`docs/DESIGN.md`, "Threads"). Whatever waits for another machine runs as
 //! a task of its own on that thread and reports back by [`Message`].
 
+pub mod assignment;
 pub mod backoff;
-pub mod counted;
-pub mod duty;
+pub mod diagnosis;
 pub mod failover;
-mod follow;
 mod groups;
 mod heartbeat;
+mod kv_watch;
 mod probe;
-pub mod verdict;
 mod vms;
+pub mod voters;
 
 use std::{
     net::SocketAddr,
@@ -32,14 +32,14 @@
 use tokio_util::sync::CancellationToken;
 
 use self::{
-    duty::{Member, Roster},
+    assignment::{Member, Roster},
     failover::Watch,
     probe::Probe,
 };
 use crate::{
     config::Config,
     metrics::Metrics,
-    view::{Group, Held, Server, Status, View},
+    view::{Group, Server, Status, StoredRecord, View},
 };
 
 /// How often the groups are judged.
@@ -53,7 +53,7 @@
     /// A bundle from the KV; not necessarily a newer one.
     Bundle(Bundle),
     /// A group's primary record from the KV.
-    Record { group: String, held: Held },
+    Record { group: String, stored: StoredRecord },
     /// The KV came back from a copy.
     Restored { era: u64 },
     /// A group's primary record in the KV cannot be read.
@@ -111,7 +111,7 @@
     let kv = kv::Client::new(&config.kv);
     let (out, mut messages) = mpsc::channel(QUEUE);
     let salt = backoff::salt(&config.id);
-    tokio::spawn(follow::run(kv.clone(), salt, out.clone()));
+    tokio::spawn(kv_watch::run(kv.clone(), salt, out.clone()));
     if let Some(url) = &config.vms {
         tokio::spawn(vms::run(url.clone(), out.clone()));
     }
@@ -182,7 +182,7 @@
     bundle: Option<Arc<Bundle>>,
     groups: Map<String, Group>,
     /// The primary records by group; kept apart from the groups, which come with the bundle.
-    records: Map<String, Held>,
+    records: Map<String, StoredRecord>,
     /// The groups whose records could not be read.
     unreadable: Set<String>,
     probes: Map<SocketAddr, Probe>,
@@ -201,7 +201,7 @@
     fn take(&mut self, message: Message) -> Change {
         match message {
             Message::Bundle(bundle) => self.apply(bundle),
-            Message::Record { group, held } => self.hold(group, held),
+            Message::Record { group, stored } => self.hold(group, stored),
             Message::Restored { era } => self.restore(era),
             Message::Unreadable { group } => self.pass_over(group),
             Message::Members(members) => {
--- a/crates/proxy/src/control/duty.rs
+++ b/crates/proxy/src/control/assignment.rs
@@ -15,11 +15,12 @@
 use super::{backoff, heartbeat};
 
 /// How many proxies watch each group; with one dead and one cut off, one is left.
-pub const WATCHERS: usize = 3;
+pub const WATCHERS_PER_GROUP: usize = 3;
 
 /// How long a proxy that a list lacks still counts: by then every live one has renewed its lease,
 /// and a failed try and its repetition fit in.
-pub const RETURN_LIMIT: Duration = Duration::from_secs(2 * heartbeat::EVERY.as_secs() + 2);
+pub const MISSING_GRACE: Duration =
+    Duration::from_secs(2 * heartbeat::RENEW_INTERVAL.as_secs() + 2);
 
 /// One live proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -57,7 +58,7 @@
     }
 
     /// Takes a complete list, as read at `now`. Proxies that it lacks go on counting for
-    /// [`RETURN_LIMIT`].
+    /// [`MISSING_GRACE`].
     ///
     /// Failure: the KV was away for longer than its leases last; the first list after its return
     /// holds the proxies that have renewed by then, and those few would watch every group. Guard:
@@ -68,7 +69,7 @@
         let lacked = known.filter(|known| !listed.contains(known)).cloned();
         let lacked: Vec<Member> = lacked.collect();
         for member in lacked {
-            self.missing.entry(member).or_insert(now + RETURN_LIMIT);
+            self.missing.entry(member).or_insert(now + MISSING_GRACE);
         }
         members.into_iter().for_each(|member| self.add(member));
     }
@@ -112,7 +113,7 @@
             .map(|(round, (weight, entry))| (round, Reverse(weight), &entry.member))
             .collect();
         ranked.sort_by_key(|(round, weight, _)| (*round, *weight));
-        ranked.truncate(WATCHERS);
+        ranked.truncate(WATCHERS_PER_GROUP);
         ranked.into_iter().map(|(.., member)| member).collect()
     }
 }
@@ -127,15 +128,15 @@
 
 /// The highest weighted proxies of one data centre, at most as many as there are watchers.
 fn best(dc: &[Entry], seed: u64) -> Vec<(u64, &Entry)> {
-    let mut best: Vec<(u64, &Entry)> = Vec::with_capacity(WATCHERS + 1);
+    let mut best: Vec<(u64, &Entry)> = Vec::with_capacity(WATCHERS_PER_GROUP + 1);
     for entry in dc {
         let weight = backoff::salt(&(seed, entry.seed));
-        if best.len() == WATCHERS && best[WATCHERS - 1].0 >= weight {
+        if best.len() == WATCHERS_PER_GROUP && best[WATCHERS_PER_GROUP - 1].0 >= weight {
             continue;
         }
         let place = best.partition_point(|(higher, _)| *higher >= weight);
         best.insert(place, (weight, entry));
-        best.truncate(WATCHERS);
+        best.truncate(WATCHERS_PER_GROUP);
     }
     best
 }
--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -36,7 +36,7 @@
     }
 
     /// Notes a failure; returns how long to wait.
-    pub fn pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let doubled = self.first.saturating_mul(1 << self.failures.min(16));
         let most = doubled.min(self.longest);
         self.failures = self.failures.saturating_add(1);
--- a/crates/proxy/src/control/verdict.rs
+++ b/crates/proxy/src/control/diagnosis.rs
@@ -9,18 +9,18 @@
 
 /// What the statuses of a group's servers say about its primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Diagnosis {
     /// There is a primary, and it is not known to have failed.
-    Led,
+    Healthy,
     /// There is no primary in sight, but too few replicas miss it, or another proxy is at it.
-    Unsure,
+    Undecided,
     /// Enough replicas have missed their primary.
     Failed,
     /// A primary leads, but it is about to be stopped, and enough others can replace it.
     Leaving,
     /// A primary leads, but a later term was claimed, or a server holds one and takes nothing
     /// from it: a failover stopped halfway.
-    Outranked,
+    StaleTerm,
     /// A primary leads, but the KV has no record of it, or still says that its term is only
     /// claimed, or has an earlier one.
     Unrecorded { term: u64, server: SocketAddr },
@@ -47,29 +47,34 @@
 /// Failure: right after a promotion the last statuses still tell of the old primary's silence,
 /// and the new one would be replaced in turn. Guard: for `grace` after it was recorded or
 /// first seen, silence is not held against it.
-pub fn judge(group: &Group, led_since: Option<Instant>, limits: Limits, now: Instant) -> Verdict {
+pub fn diagnose(
+    group: &Group,
+    led_since: Option<Instant>,
+    limits: Limits,
+    now: Instant,
+) -> Diagnosis {
     if group.claimed(now) {
-        return Verdict::Unsure;
+        return Diagnosis::Undecided;
     }
-    let recorded_at = group.held.as_ref().map(|held| held.seen_at);
+    let recorded_at = group.stored.as_ref().map(|stored| stored.seen_at);
     let newest = recorded_at.max(led_since);
     let settled = newest.is_none_or(|since| now.duration_since(since) >= limits.grace);
     let missing = group
-        .fresh(now)
-        .filter(|(_, status)| status.role == Role::Replica && status.silent >= limits.after)
+        .fresh_statuses(now)
+        .filter(|(_, status)| status.role == Role::Replica && status.silence >= limits.after)
         .count();
     if missing >= limits.quorum && settled {
-        return Verdict::Failed;
+        return Diagnosis::Failed;
     }
     match group
         .leader(now)
         .and_then(|index| Some((index, group.servers[index].status.get()?)))
     {
-        None => Verdict::Unsure,
-        Some((index, led)) => match group.fresh(now).any(|(_, s)| s.term > led.term) {
-            true => Verdict::Outranked,
+        None => Diagnosis::Undecided,
+        Some((index, led)) => match group.fresh_statuses(now).any(|(_, s)| s.term > led.term) {
+            true => Diagnosis::StaleTerm,
             false if group.servers[index].leaving && stay(group, now) >= limits.quorum => {
-                Verdict::Leaving
+                Diagnosis::Leaving
             }
             false => recorded(group, led.term, group.servers[index].address),
         },
@@ -79,7 +84,7 @@
 /// How many replicas are in sight and not leaving themselves.
 fn stay(group: &Group, now: Instant) -> usize {
     group
-        .fresh(now)
+        .fresh_statuses(now)
         .filter(|(index, status)| status.role == Role::Replica && !group.servers[*index].leaving)
         .count()
 }
@@ -91,11 +96,11 @@
 /// when the first one goes on, two primaries lead at it and overwrite each other's commits.
 /// Guard: the record never goes back; a later term is taken, which the servers then hold against
 /// the paused claimant.
-fn recorded(group: &Group, term: u64, server: SocketAddr) -> Verdict {
-    let record = group.held.as_ref().map(|held| &held.record);
+fn recorded(group: &Group, term: u64, server: SocketAddr) -> Diagnosis {
+    let record = group.stored.as_ref().map(|stored| &stored.record);
     match record {
-        Some(record) if record.server.is_none() && record.term > term => Verdict::Outranked,
-        Some(record) if record.server.is_some() && record.term >= term => Verdict::Led,
-        _ => Verdict::Unrecorded { term, server },
+        Some(record) if record.server.is_none() && record.term > term => Diagnosis::StaleTerm,
+        Some(record) if record.server.is_some() && record.term >= term => Diagnosis::Healthy,
+        _ => Diagnosis::Unrecorded { term, server },
     }
 }
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -24,8 +24,8 @@
 
 use super::{
     backoff::{self, Backoff},
-    counted::{Counted, Life},
-    verdict::{self, Limits, Verdict},
+    diagnosis::{self, Diagnosis, Limits},
+    voters::{History, Voters},
     Leader,
 };
 use crate::{backend, config::Config, view};
@@ -79,8 +79,8 @@
     servers: Vec<SocketAddr>,
     /// Those of the servers that are about to stop or were taken out.
     leaving: Vec<SocketAddr>,
-    /// The life that each server was last seen in.
-    lives: Map<SocketAddr, Life>,
+    /// The history that each server was last seen in.
+    histories: Map<SocketAddr, History>,
     /// The servers that count, listed or not; the record keeps them for the next claimant.
     members: Vec<SocketAddr>,
     quorum: usize,
@@ -98,13 +98,13 @@
 /// What is remembered of one group.
 #[derive(Debug)]
 struct Memory {
-    verdict: Verdict,
+    diagnosis: Diagnosis,
     /// Since when the verdict has been the same.
     since: Instant,
     backoff: Backoff,
     /// No attempt is made before this.
     not_before: Instant,
-    counted: Counted,
+    voters: Voters,
 }
 
 /// The memory of the failover role.
@@ -135,40 +135,40 @@
         now: Instant,
     ) -> Option<Attempt> {
         let memory = self.remember(&group.name, now);
-        memory.counted.update(view, now);
-        let quorum = memory.counted.quorum(group.sync_replicas)?;
-        let outdated = memory.counted.outdates(view);
-        let missing = memory.counted.is_missing_in(view);
+        memory.voters.update(view, now);
+        let quorum = memory.voters.quorum(group.sync_replicas)?;
+        let outdated = memory.voters.outdated_record(view);
+        let missing = memory.voters.record_lacks_voter(view);
         let after = self.config.failover.after;
         let limits = Limits {
             quorum,
             after,
             grace: after + 2 * self.config.backend.status_every,
         };
-        let verdict = verdict::judge(view, led_by.map(|leader| leader.since), limits, now);
-        let verdict = match (verdict, outdated) {
-            (Verdict::Led, Some((term, server))) => Verdict::Unrecorded { term, server },
-            _ => verdict,
+        let diagnosis = diagnosis::diagnose(view, led_by.map(|leader| leader.since), limits, now);
+        let diagnosis = match (diagnosis, outdated) {
+            (Diagnosis::Healthy, Some((term, server))) => Diagnosis::Unrecorded { term, server },
+            _ => diagnosis,
         };
-        let wait = self.wait(&group.name, verdict, missing);
+        let wait = self.wait(&group.name, diagnosis, missing);
         let memory = self.remember(&group.name, now);
-        if memory.verdict != verdict {
-            memory.verdict = verdict;
+        if memory.diagnosis != diagnosis {
+            memory.diagnosis = diagnosis;
             memory.since = now;
         }
         if now < memory.since + wait || now < memory.not_before {
             return None;
         }
-        let task = match verdict {
-            Verdict::Led | Verdict::Unsure => return None,
-            Verdict::Failed | Verdict::Leaving => Task::Replace {
+        let task = match diagnosis {
+            Diagnosis::Healthy | Diagnosis::Undecided => return None,
+            Diagnosis::Failed | Diagnosis::Leaving => Task::Replace {
                 suspect: led_by.map(|leader| leader.server),
             },
-            Verdict::Outranked => Task::Replace { suspect: None },
-            Verdict::Unrecorded { term, server } => Task::Record { term, server },
+            Diagnosis::StaleTerm => Task::Replace { suspect: None },
+            Diagnosis::Unrecorded { term, server } => Task::Record { term, server },
         };
-        let counted = &self.groups[&group.name].counted;
-        Some(self.attempt(task, group, view, counted, quorum, now))
+        let voters = &self.groups[&group.name].voters;
+        Some(self.attempt(task, group, view, voters, quorum, now))
     }
 
     /// Notes how an attempt on `group` ended, which says when the next one may be made.
@@ -177,7 +177,7 @@
         memory.since = now;
         match success {
             true => memory.backoff.reset(),
-            false => memory.not_before = now + memory.backoff.pause(),
+            false => memory.not_before = now + memory.backoff.next_delay(),
         }
     }
 
@@ -186,11 +186,11 @@
         self.groups
             .entry(group.to_owned())
             .or_insert_with(|| Memory {
-                verdict: Verdict::Led,
+                diagnosis: Diagnosis::Healthy,
                 since: now,
                 backoff: Backoff::new(RETRY.0, RETRY.1, salt),
                 not_before: now,
-                counted: Counted::new(now),
+                voters: Voters::new(now),
             })
     }
 
@@ -199,13 +199,15 @@
     ///
     /// A record in which a server that counts is `missing` is written at once: until then a proxy
     /// that starts cannot know of that server once it is taken out of the list.
-    fn wait(&self, group: &str, verdict: Verdict, missing: bool) -> Duration {
+    fn wait(&self, group: &str, diagnosis: Diagnosis, missing: bool) -> Duration {
         let share = backoff::share(&(&self.config.id, group));
         let spread = self.config.failover.spread.mul_f64(share);
-        match verdict {
-            Verdict::Led | Verdict::Unsure | Verdict::Failed | Verdict::Leaving => spread,
-            Verdict::Unrecorded { .. } if missing => Duration::ZERO,
-            Verdict::Outranked | Verdict::Unrecorded { .. } => {
+        match diagnosis {
+            Diagnosis::Healthy | Diagnosis::Undecided | Diagnosis::Failed | Diagnosis::Leaving => {
+                spread
+            }
+            Diagnosis::Unrecorded { .. } if missing => Duration::ZERO,
+            Diagnosis::StaleTerm | Diagnosis::Unrecorded { .. } => {
                 self.config.failover.claim_limit + spread
             }
         }
@@ -216,23 +218,26 @@
         task: Task,
         group: &bundle::Group,
         view: &view::Group,
-        counted: &Counted,
+        voters: &Voters,
         quorum: usize,
         now: Instant,
     ) -> Attempt {
-        let on_servers = view.fresh(now).map(|(_, status)| status.term).max();
-        let in_record = view.held.as_ref().map(|held| held.record.term);
+        let on_servers = view
+            .fresh_statuses(now)
+            .map(|(_, status)| status.term)
+            .max();
+        let in_record = view.stored.as_ref().map(|stored| stored.record.term);
         let leaving = view.servers.iter().filter(|server| server.leaving);
         Attempt {
             task,
             group: group.name.clone(),
             servers: view.servers.iter().map(|server| server.address).collect(),
             leaving: leaving.map(|server| server.address).collect(),
-            lives: counted.lives().clone(),
-            members: counted.addresses(),
+            histories: voters.histories().clone(),
+            members: voters.addresses(),
             quorum,
             top_term: on_servers.max(in_record).unwrap_or_default(),
-            revision: view.held.as_ref().map_or(0, |held| held.revision),
+            revision: view.stored.as_ref().map_or(0, |stored| stored.revision),
             config: self.config.clone(),
             kv: self.kv.clone(),
         }
@@ -243,7 +248,7 @@
 struct Fenced {
     server: SocketAddr,
     client: Client,
-    log: u64,
+    log_id: u64,
     received: Position,
 }
 
@@ -347,8 +352,8 @@
 
     /// Whether a server's log is shorter than it was: it has started again empty.
     fn has_lost_its_log(&self, fenced: &Fenced) -> bool {
-        let life = self.lives.get(&fenced.server);
-        life.is_some_and(|life| !life.goes_on(fenced.log, fenced.received))
+        let history = self.histories.get(&fenced.server);
+        history.is_some_and(|history| !history.is_continued_by(fenced.log_id, fenced.received))
     }
 
     /// Promotes the most advanced of the fenced servers, of equal ones one that stays. One that was
@@ -384,10 +389,10 @@
 ) -> Option<Fenced> {
     let client = backend::connect(&options, limit).await.ok()?;
     match backend::fence(&client, term, limit).await {
-        Ok((log, received)) => Some(Fenced {
+        Ok((log_id, received)) => Some(Fenced {
             server,
             client,
-            log,
+            log_id,
             received,
         }),
         Err(error) => {
--- a/crates/proxy/src/control/groups.rs
+++ b/crates/proxy/src/control/groups.rs
@@ -9,10 +9,10 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use super::{duty::Member, probe::Probe, Change, Control};
+use super::{assignment::Member, probe::Probe, Change, Control};
 use crate::{
     pool,
-    view::{self, Group, Held, Server},
+    view::{self, Group, Server, StoredRecord},
 };
 
 impl Control {
@@ -78,9 +78,9 @@
     /// The group's servers, with the pools and statuses of those it already had, and those that were
     /// taken out and count.
     fn build(&self, group: &bundle::Group, kept: Option<&Group>, taken: &Set<SocketAddr>) -> Group {
-        let held = self.records.get(&group.name).cloned();
+        let stored = self.records.get(&group.name).cloned();
         let had = kept.into_iter().flat_map(|kept| &kept.servers);
-        let recorded = held.iter().flat_map(|held| &held.record.members);
+        let recorded = stored.iter().flat_map(|stored| &stored.record.members);
         let known: Vec<SocketAddr> = had.map(|s| s.address).chain(recorded.copied()).collect();
         let mut servers: Vec<Server> = group
             .servers
@@ -95,12 +95,12 @@
         }
         Group {
             servers,
-            fresh_for: view::fresh_for(self.config.backend.status_every),
+            status_ttl: view::status_ttl(self.config.backend.status_every),
             claim_limit: self.config.failover.claim_limit,
-            held,
+            stored,
             unreadable: self.unreadable.contains(&group.name),
             watched: kept.is_some_and(|kept| kept.watched),
-            found: kept.map(|kept| kept.found.clone()).unwrap_or_default(),
+            discovery: kept.map(|kept| kept.discovery.clone()).unwrap_or_default(),
         }
     }
 
@@ -126,34 +126,34 @@
             status: old.map(|old| old.status.clone()).unwrap_or_default(),
             leaving,
             listed,
-            rest: old.map(|old| old.rest.clone()).unwrap_or_default(),
+            cooldown: old.map(|old| old.cooldown.clone()).unwrap_or_default(),
             superseded: CancellationToken::new(),
         }
     }
 
     /// Takes a primary record from the KV unless it is older than the one held, and looks at
     /// the group's servers at once.
-    pub(super) fn hold(&mut self, group: String, held: Held) -> Change {
+    pub(super) fn hold(&mut self, group: String, stored: StoredRecord) -> Change {
         let known = self.records.get(&group);
-        if known.is_some_and(|known| held.revision <= known.revision) {
+        if known.is_some_and(|known| stored.revision <= known.revision) {
             return Change::Nothing;
         }
-        let held = match known {
-            Some(known) => known.or_later(held),
-            None => held,
+        let stored = match known {
+            Some(known) => known.reconcile(stored),
+            None => stored,
         };
         let mut others = false;
         if let Some(group) = self.groups.get_mut(&group) {
-            let recorded = &held.record.members;
+            let recorded = &stored.record.members;
             let here = |address| group.servers.iter().any(|s| s.address == address);
             others = !recorded.iter().all(|&address| here(address));
             let before = group.servers.len();
             let counts = |s: &Server| s.listed || recorded.contains(&s.address);
             group.servers.retain(counts);
             others |= group.servers.len() < before;
-            group.held = Some(held.clone());
+            group.stored = Some(stored.clone());
         }
-        self.records.insert(group.clone(), held);
+        self.records.insert(group.clone(), stored);
         if others {
             self.rebuild();
         }
@@ -166,11 +166,11 @@
     /// been there.
     pub(super) fn restore(&mut self, era: u64) -> Change {
         log::warn!(target: "control", "The KV came back from a copy; era {era}.");
-        for (group, held) in &mut self.records {
-            held.forgotten = true;
-            held.revision = 0;
+        for (group, stored) in &mut self.records {
+            stored.lost_in_restore = true;
+            stored.revision = 0;
             if let Some(known) = self.groups.get_mut(group) {
-                known.held = Some(held.clone());
+                known.stored = Some(stored.clone());
             }
         }
         Change::Routing
--- a/crates/proxy/src/control/heartbeat.rs
+++ b/crates/proxy/src/control/heartbeat.rs
@@ -13,9 +13,9 @@
 /// Failure: all watchers of a group die together, and their records are all that says so; with the
 /// primary dead as well there are no writes until the leases have run out. 9 s leave three for the
 /// failover of the 12 s in which service must be back, and three renewals fit in.
-pub const TTL: u64 = 9;
+pub const LEASE_TTL_SECS: u64 = 9;
 /// How often the lease is renewed; each renewal is a read of the KV (`docs/CAPACITY.md`).
-pub const EVERY: Duration = Duration::from_secs(3);
+pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 /// Pause before another try after the KV failed.
 const RETRY: Duration = Duration::from_secs(1);
 
@@ -33,7 +33,7 @@
     let mut lease = None;
     loop {
         let pause = match renew(&kv, &record, &mut lease).await {
-            Ok(()) => EVERY,
+            Ok(()) => RENEW_INTERVAL,
             Err(error) => {
                 log::warn!(target: "control", "Heartbeat failed: {error}.");
                 RETRY
@@ -55,7 +55,7 @@
         }
         *lease = None;
     }
-    let granted = kv.grant(TTL).await?;
+    let granted = kv.grant(LEASE_TTL_SECS).await?;
     let value = serde_json::to_vec(record).unwrap_or_default();
     kv.put(&keys::proxy(&record.dc, &record.id), &value, Some(granted))
         .await?;
--- a/crates/proxy/src/control/follow.rs
+++ b/crates/proxy/src/control/kv_watch.rs
@@ -12,8 +12,8 @@
 };
 use tokio::sync::mpsc;
 
-use super::{backoff::Backoff, duty::Member, Message};
-use crate::view::Held;
+use super::{assignment::Member, backoff::Backoff, Message};
+use crate::view::StoredRecord;
 
 /// The pause after the first failure, and the longest one. A fleet that all asked again at
 /// once would keep a recovering KV down.
@@ -36,7 +36,7 @@
                 if backoff.failures() == 0 {
                     log::warn!(target: "control", "Lost the platform KV: {error}.");
                 }
-                tokio::time::sleep(backoff.pause()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
             }
         }
     }
@@ -114,11 +114,11 @@
         return Some(match read {
             Ok(record) => Message::Record {
                 group,
-                held: Held {
+                stored: StoredRecord {
                     record,
                     revision: kv.mod_revision,
                     seen_at: Instant::now(),
-                    forgotten: false,
+                    lost_in_restore: false,
                 },
             },
             Err(_) => Message::Unreadable { group },
--- a/crates/proxy/src/control/counted.rs
+++ b/crates/proxy/src/control/voters.rs
@@ -19,37 +19,37 @@
 
 /// The servers of one group that count.
 #[derive(Debug)]
-pub struct Counted {
+pub struct Voters {
     /// The origin of the moments that the roster goes by.
     started: Instant,
     roster: Roster,
     /// The revision of the record that was taken in last, and the servers that it names.
     revision: u64,
     recorded: Vec<Incarnation>,
-    lives: Map<SocketAddr, Life>,
+    histories: Map<SocketAddr, History>,
 }
 
 /// What is known of the server behind an address.
 ///
 /// Failure: a replica that alone has a commit loses its log and comes back empty; held for a promotion it
 /// looks like one of the quorum. Guard: another log, or one that has become shorter within a term, belongs
-/// to another life, and the earlier one still counts.
+/// to another history, and the earlier one still counts.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
-    /// How many lives are known to have ended before this one.
+pub struct History {
+    /// How many histories are known to have ended before this one.
     number: u64,
-    log: u64,
+    log_id: u64,
     last: Status,
 }
 
-impl Life {
-    /// Whether a server that has this log up to `received` is still in this life.
-    pub fn goes_on(&self, log: u64, received: Position) -> bool {
-        log == self.log && received >= self.last.received
+impl History {
+    /// Whether a server that has this log up to `received` is still in this history.
+    pub fn is_continued_by(&self, log_id: u64, received: Position) -> bool {
+        log_id == self.log_id && received >= self.last.received
     }
 }
 
-impl Counted {
+impl Voters {
     /// Counts no server yet.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -57,7 +57,7 @@
             roster: Roster::default(),
             revision: 0,
             recorded: Vec::new(),
-            lives: Map::default(),
+            histories: Map::default(),
         }
     }
 
@@ -66,7 +66,7 @@
         let at = self.moment(now);
         for server in &group.servers {
             if let Some(status) = server.status.get() {
-                self.note_life(server.address, status);
+                self.note_history(server.address, status);
             }
         }
         let (listed, taken_out): (Vec<_>, Vec<_>) =
@@ -80,24 +80,24 @@
         let member = |server: &view::Server| self.member(server, group, now);
         let members: Vec<Member> = listed.into_iter().map(member).collect();
         self.roster.update(&members, at);
-        if let Some(held) = &group.held {
-            self.take(held, at);
+        if let Some(stored) = &group.stored {
+            self.take(stored, at);
         }
     }
 
     /// Takes in a newer record. A server that the one before names and this one does not is covered:
     /// whoever writes a record has taken in the one that it replaces. A KV that came back from a copy may
     /// show an older one.
-    fn take(&mut self, held: &view::Held, at: Moment) {
-        if held.revision <= self.revision {
+    fn take(&mut self, stored: &view::StoredRecord, at: Moment) {
+        if stored.revision <= self.revision {
             return;
         }
-        let members = held.record.members.iter();
+        let members = stored.record.members.iter();
         let recorded: Vec<_> = members.map(|&address| self.id(address)).collect();
         let mut covered = std::mem::replace(&mut self.recorded, recorded);
         covered.retain(|id| !self.recorded.contains(id));
-        let replaces = era::of(held.revision) == era::of(self.revision);
-        self.revision = held.revision;
+        let replaces = era::of(stored.revision) == era::of(self.revision);
+        self.revision = stored.revision;
         if replaces {
             self.roster.forget(&covered);
         }
@@ -119,20 +119,24 @@
 
     /// The term and server of the record, if it is to be written again with the servers that count:
     /// it lacks one, or keeps one that counts no longer.
-    pub fn outdates(&self, group: &view::Group) -> Option<(u64, SocketAddr)> {
-        let record = &group.held.as_ref()?.record;
-        let counted = self.addresses();
-        let keeps = !record.members.iter().all(|one| counted.contains(one));
-        Some((record.term, record.server?)).filter(|_| keeps || self.is_missing_in(group))
+    pub fn outdated_record(&self, group: &view::Group) -> Option<(u64, SocketAddr)> {
+        let record = &group.stored.as_ref()?.record;
+        let voters = self.addresses();
+        let keeps = !record.members.iter().all(|one| voters.contains(one));
+        Some((record.term, record.server?)).filter(|_| keeps || self.record_lacks_voter(group))
     }
 
     /// Whether the record lacks a server that counts. Until it is written, a proxy that starts after
     /// this server was taken out does not know of it.
-    pub fn is_missing_in(&self, group: &view::Group) -> bool {
-        let Some(held) = group.held.as_ref().filter(|held| !held.forgotten) else {
+    pub fn record_lacks_voter(&self, group: &view::Group) -> bool {
+        let Some(stored) = group
+            .stored
+            .as_ref()
+            .filter(|stored| !stored.lost_in_restore)
+        else {
             return true;
         };
-        let recorded = |address: &SocketAddr| held.record.members.contains(address);
+        let recorded = |address: &SocketAddr| stored.record.members.contains(address);
         !self.addresses().iter().all(recorded)
     }
 
@@ -141,42 +145,45 @@
         let ids = self.roster.ids();
         let addresses = ids.iter().filter_map(|id| id.id.parse().ok());
         let mut addresses: Vec<SocketAddr> = addresses.collect();
-        // Two lives of one server stand side by side.
+        // Two histories of one server stand side by side.
         addresses.dedup();
         addresses
     }
 
-    /// The life that each server was last seen in.
-    pub fn lives(&self) -> &Map<SocketAddr, Life> {
-        &self.lives
+    /// The history that each server was last seen in.
+    pub fn histories(&self) -> &Map<SocketAddr, History> {
+        &self.histories
     }
 
-    fn note_life(&mut self, address: SocketAddr, status: view::Status) {
-        let (log, last) = (status.log, read(status));
-        let first = Life {
+    fn note_history(&mut self, address: SocketAddr, status: view::Status) {
+        let (log_id, last) = (status.log_id, read(status));
+        let first = History {
             number: 0,
-            log,
+            log_id,
             last,
         };
-        let life = self.lives.entry(address).or_insert(first);
-        if log != life.log || takeover::has_restarted(&life.last, &last) {
-            life.number += 1;
+        let history = self.histories.entry(address).or_insert(first);
+        if log_id != history.log_id || takeover::has_restarted(&history.last, &last) {
+            history.number += 1;
             log::warn!(target: "control", "Server {address} has lost its log: it ends at {}, after {}.",
-                last.received, life.last.received);
+                last.received, history.last.received);
         }
-        (life.log, life.last) = (log, last);
+        (history.log_id, history.last) = (log_id, last);
     }
 
-    /// A server as the roster names it, by its address and life.
+    /// A server as the roster names it, by its address and history.
     fn id(&self, address: SocketAddr) -> Incarnation {
         Incarnation {
             id: address.to_string(),
-            born: self.lives.get(&address).map_or(0, |life| life.number),
+            born: self
+                .histories
+                .get(&address)
+                .map_or(0, |history| history.number),
         }
     }
 
     fn member(&self, server: &view::Server, group: &view::Group, now: Instant) -> Member {
-        let status = server.fresh(now, group.fresh_for);
+        let status = server.fresh_status(now, group.status_ttl);
         Member {
             id: self.id(server.address),
             leaving: server.leaving,
@@ -192,8 +199,8 @@
 
 /// Whether a server is sent the group's commits, or leads it.
 fn receives(server: &view::Server, group: &view::Group, now: Instant) -> bool {
-    let status = server.fresh(now, group.fresh_for);
-    status.is_some_and(|status| status.silent < group.fresh_for)
+    let status = server.fresh_status(now, group.status_ttl);
+    status.is_some_and(|status| status.silence < group.status_ttl)
 }
 
 fn read(status: view::Status) -> Status {
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -228,7 +228,7 @@
             if control.followed_lately.replace(false) {
                 journal::dependency("store", "lost", &error.to_string());
             }
-            tokio::time::sleep(self.backoff.pause()).await;
+            tokio::time::sleep(self.backoff.next_delay()).await;
         }
     }
 }
--- a/crates/proxy/src/line/control/member.rs
+++ b/crates/proxy/src/line/control/member.rs
@@ -40,7 +40,7 @@
             Err(error) => {
                 control.metrics.store_error();
                 journal::trouble("lease", &error.to_string());
-                backoff.pause()
+                backoff.next_delay()
             }
         };
         tokio::select! {
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -194,7 +194,9 @@
     let primary = group.primary(now);
     let mut order: Vec<usize> = (0..group.servers.len())
         .filter(|&index| Some(index) != primary)
-        .filter(|&index| !group.servers[index].leaving && !group.servers[index].rest.lasts(now))
+        .filter(|&index| {
+            !group.servers[index].leaving && !group.servers[index].cooldown.is_active(now)
+        })
         .collect();
     if !order.is_empty() {
         let first = TURN.fetch_add(1, Ordering::Relaxed) % order.len();
@@ -223,7 +225,7 @@
         .filter(|&index| !group.servers[index].leaving)
         .filter(|&index| {
             group.servers[index]
-                .fresh(now, group.fresh_for)
+                .fresh_status(now, group.status_ttl)
                 .is_some_and(|status| {
                     let covered = match need {
                         Need::Floor(floor) => status.position.covers(floor),
--- a/crates/proxy/src/session/checkout.rs
+++ b/crates/proxy/src/session/checkout.rs
@@ -52,7 +52,7 @@
 
     /// Asks the servers of a group that is not watched which of them leads.
     pub(super) async fn search(&self, group: &Group, call: Call<'_>) {
-        if group.watched || !group.found.due(Instant::now()) {
+        if group.watched || !group.discovery.try_begin_search(Instant::now()) {
             return;
         }
         let asked = group.servers.iter().map(|server| async move {
@@ -60,7 +60,7 @@
             (status.role == Role::Primary).then_some((server.address, status.term))
         });
         for (server, term) in join_all(asked).await.into_iter().flatten() {
-            group.found.offer(server, term);
+            group.discovery.report(server, term);
         }
     }
 
--- a/crates/proxy/src/session/read.rs
+++ b/crates/proxy/src/session/read.rs
@@ -62,7 +62,7 @@
         for index in route::unwatched(group, Instant::now()) {
             let server = &group.servers[index];
             let Some(mut replica) = self.checkout_soon(server, call).await else {
-                server.rest.start();
+                server.cooldown.start();
                 continue;
             };
             let limit = self.shared.check_limit;
@@ -76,7 +76,7 @@
                     return Ok(Some(read_answer(answer, call.plan)));
                 }
                 Checked::Unfit => {}
-                Checked::Silent => server.rest.start(),
+                Checked::Silent => server.cooldown.start(),
             }
         }
         Ok(None)
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -23,7 +23,7 @@
 const REST: Duration = Duration::from_secs(2);
 
 /// How long a status read every `period` is trusted for routing.
-pub fn fresh_for(period: Duration) -> Duration {
+pub fn status_ttl(period: Duration) -> Duration {
     (period * FRESH_PERIODS).max(FRESH_MIN)
 }
 
@@ -41,13 +41,13 @@
     /// The highest term the server has accepted.
     pub term: u64,
     /// Which log it has: another number once it has lost one, zero if it does not say.
-    pub log: u64,
+    pub log_id: u64,
     /// The last entry in its table.
     pub position: Position,
     /// At most how old its table was at `read_at`.
     pub lag: Duration,
     /// How long it had not heard from a primary at `read_at`.
-    pub silent: Duration,
+    pub silence: Duration,
     /// When the proxy read this.
     pub read_at: Instant,
 }
@@ -64,9 +64,9 @@
 /// The control thread writes it and sessions read it, so new positions and lags need no new
 /// [`View`]: at 4,000 groups, publishing one for every status read costs more than the reads.
 #[derive(Clone, Debug, Default)]
-pub struct Latest(Arc<Mutex<Option<Status>>>);
+pub struct StatusCell(Arc<Mutex<Option<Status>>>);
 
-impl Latest {
+impl StatusCell {
     /// The status, if there is one.
     pub fn get(&self) -> Option<Status> {
         *self.0.lock().unwrap()
@@ -83,7 +83,7 @@
 pub struct Server {
     pub address: SocketAddr,
     pub pool: Pool,
-    pub status: Latest,
+    pub status: StatusCell,
     /// Whether it is about to stop or was taken out of the list; it gets no new reads, and a
     /// primary is replaced first.
     pub leaving: bool,
@@ -91,7 +91,7 @@
     /// commits (`docs/DESIGN.md`, "Failover").
     pub listed: bool,
     /// Set while it is left alone, in a group that is not watched.
-    pub rest: Rest,
+    pub cooldown: Cooldown,
     /// Cancelled when another server has taken over from this one: what is under way here as
     /// on a primary gets its final answer at once.
     pub superseded: CancellationToken,
@@ -99,7 +99,7 @@
 
 impl Server {
     /// The status, if it was read within `limit` before `now`.
-    pub fn fresh(&self, now: Instant, limit: Duration) -> Option<Status> {
+    pub fn fresh_status(&self, now: Instant, limit: Duration) -> Option<Status> {
         self.status
             .get()
             .filter(|status| now.duration_since(status.read_at) <= limit)
@@ -108,16 +108,16 @@
 
 /// Until when a server that did not answer is left alone; shared by all sessions.
 #[derive(Clone, Debug, Default)]
-pub struct Rest(Arc<Mutex<Option<Instant>>>);
+pub struct Cooldown(Arc<Mutex<Option<Instant>>>);
 
-impl Rest {
+impl Cooldown {
     /// Leaves the server alone for [`REST`].
     pub fn start(&self) {
         *self.0.lock().unwrap() = Some(Instant::now() + REST);
     }
 
     /// Whether the server is to be left alone at `now`.
-    pub fn lasts(&self, now: Instant) -> bool {
+    pub fn is_active(&self, now: Instant) -> bool {
         self.0.lock().unwrap().is_some_and(|until| now < until)
     }
 }
@@ -131,7 +131,7 @@
 /// the old one until the KV is back. Guard: sessions that get no further ask the servers, a
 /// few times a second for all of them together, and the highest term that leads is used.
 #[derive(Clone, Debug, Default)]
-pub struct Found(Arc<Mutex<Search>>);
+pub struct Discovery(Arc<Mutex<Search>>);
 
 #[derive(Debug, Default)]
 struct Search {
@@ -139,14 +139,14 @@
     asked_at: Option<Instant>,
 }
 
-impl Found {
+impl Discovery {
     /// The server that said it leads, and its term.
     pub fn leader(&self) -> Option<(SocketAddr, u64)> {
         self.0.lock().unwrap().leader
     }
 
     /// Notes that a server says it leads at `term`, unless a later term is known.
-    pub fn offer(&self, server: SocketAddr, term: u64) {
+    pub fn report(&self, server: SocketAddr, term: u64) {
         let leader = &mut self.0.lock().unwrap().leader;
         if leader.is_none_or(|(_, known)| known < term) {
             *leader = Some((server, term));
@@ -154,7 +154,7 @@
     }
 
     /// Whether it is time to ask the servers; whoever is told so is to ask them.
-    pub fn due(&self, now: Instant) -> bool {
+    pub fn try_begin_search(&self, now: Instant) -> bool {
         let asked_at = &mut self.0.lock().unwrap().asked_at;
         let due = asked_at.is_none_or(|at| now.duration_since(at) >= SEARCH_EVERY);
         if due {
@@ -166,24 +166,24 @@
 
 /// The KV's record of a group's primary, as last seen.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct StoredRecord {
     pub record: Record,
     /// The KV revision that wrote it.
     pub revision: u64,
     pub seen_at: Instant,
     /// The KV came back from a copy of before this record, which is to be written again.
-    pub forgotten: bool,
+    pub lost_in_restore: bool,
 }
 
-impl Held {
-    /// What holds once the KV, in which this record is forgotten, has shown `found`.
+impl StoredRecord {
+    /// What holds once the KV, in which this record is lost_in_restore, has shown `found`.
     ///
     /// Failure: the copy is from before a promotion; by its record the replaced primary leads, and its term
     /// is given out a second time. Guard: the record of the later term stays and is written again over what
     /// was found.
-    pub fn or_later(&self, found: Self) -> Self {
+    pub fn reconcile(&self, found: Self) -> Self {
         let order = |record: &Record| (record.term, record.server.is_some());
-        match self.forgotten && order(&self.record) > order(&found.record) {
+        match self.lost_in_restore && order(&self.record) > order(&found.record) {
             true => Self {
                 revision: found.revision,
                 ..self.clone()
@@ -197,28 +197,28 @@
 #[derive(Clone, Debug, Default)]
 pub struct Group {
     pub servers: Vec<Server>,
-    /// How long a server's status is trusted, from [`fresh_for`].
-    pub fresh_for: Duration,
+    /// How long a server's status is trusted, from [`status_ttl`].
+    pub status_ttl: Duration,
     /// How long a claimed term keeps the old primary out of use before a server is promoted.
     /// After it the claimant has failed, and the old primary, if it is there, may serve
     /// again: the servers themselves refuse what a fence forbids.
     pub claim_limit: Duration,
     /// `None` while the KV has no record of this group.
-    pub held: Option<Held>,
+    pub stored: Option<StoredRecord>,
     /// The KV has a record that cannot be read: nobody can be promoted over it.
     pub unreadable: bool,
     /// Whether this proxy reads the servers' status. Otherwise it knows the primary from the
     /// record, and asks a replica for its status along with each read.
     pub watched: bool,
     /// What sessions found out about the primary while it is not watched.
-    pub found: Found,
+    pub discovery: Discovery,
 }
 
 impl Group {
     /// The primary that callers may use. Before the group has a record there is none: a proxy that
     /// starts could not know of a server that was taken out and alone has a commit.
     pub fn primary(&self, now: Instant) -> Option<usize> {
-        let recorded = self.held.is_some() || self.unreadable;
+        let recorded = self.stored.is_some() || self.unreadable;
         self.leader(now).filter(|_| recorded)
     }
 
@@ -229,7 +229,7 @@
             return self.recorded();
         }
         let floor = self.term_floor(now);
-        self.fresh(now)
+        self.fresh_statuses(now)
             .filter(|(_, status)| status.role == Role::Primary && status.term >= floor)
             .filter(|&(index, status)| self.may_lead(index, status.term))
             .max_by_key(|(_, status)| status.term)
@@ -240,7 +240,7 @@
     /// that was taken out may belong to another group by now, so the record has to name it.
     fn may_lead(&self, index: usize, term: u64) -> bool {
         let server = &self.servers[index];
-        let record = self.held.as_ref().map(|held| &held.record);
+        let record = self.stored.as_ref().map(|stored| &stored.record);
         server.listed
             || record
                 .is_some_and(|record| record.term == term && record.server == Some(server.address))
@@ -248,9 +248,9 @@
 
     /// The server that leads by the record, or at a later term by its own word.
     fn recorded(&self) -> Option<usize> {
-        let record = self.held.as_ref().map(|held| &held.record);
+        let record = self.stored.as_ref().map(|stored| &stored.record);
         let recorded = record.and_then(|record| Some((record.server?, record.term)));
-        let known = recorded.into_iter().chain(self.found.leader());
+        let known = recorded.into_iter().chain(self.discovery.leader());
         let (leader, _) = known.max_by_key(|(_, term)| *term)?;
         self.servers
             .iter()
@@ -258,9 +258,9 @@
     }
 
     /// The servers with a fresh status.
-    pub fn fresh(&self, now: Instant) -> impl Iterator<Item = (usize, Status)> + '_ {
+    pub fn fresh_statuses(&self, now: Instant) -> impl Iterator<Item = (usize, Status)> + '_ {
         let read = move |index: usize| {
-            let status = self.servers[index].fresh(now, self.fresh_for)?;
+            let status = self.servers[index].fresh_status(now, self.status_ttl)?;
             Some((index, status))
         };
         (0..self.servers.len()).filter_map(read)
@@ -268,16 +268,18 @@
 
     /// Whether another proxy has taken a term and may still be about to promote at it.
     pub fn claimed(&self, now: Instant) -> bool {
-        self.held.as_ref().is_some_and(|held| {
-            let pending = held.record.server.is_none();
-            pending && now.duration_since(held.seen_at) <= self.claim_limit
+        self.stored.as_ref().is_some_and(|stored| {
+            let pending = stored.record.server.is_none();
+            pending && now.duration_since(stored.seen_at) <= self.claim_limit
         })
     }
 
     /// The lowest term a primary may have to be used.
     fn term_floor(&self, now: Instant) -> u64 {
-        match &self.held {
-            Some(held) if held.record.server.is_some() || self.claimed(now) => held.record.term,
+        match &self.stored {
+            Some(stored) if stored.record.server.is_some() || self.claimed(now) => {
+                stored.record.term
+            }
             _ => 0,
         }
     }
--- a/crates/proxy/tests/verdict.rs
+++ b/crates/proxy/tests/diagnosis.rs
@@ -5,9 +5,9 @@
 use dandelionpitch_core::{position::Position, primary::Record};
 use dandelionpitch_proxy::{
     config::Config,
-    control::verdict::{judge, Limits, Verdict},
+    control::diagnosis::{diagnose, Diagnosis, Limits},
     pool,
-    view::{Group, Held, Latest, Role, Server, Status},
+    view::{Group, Role, Server, Status, StatusCell, StoredRecord},
 };
 use yare::parameterized;
 
@@ -25,20 +25,20 @@
     Some(Status {
         role,
         term,
-        log: 0,
+        log_id: 0,
         position: Position { term, lsn: 10 },
         lag: Duration::ZERO,
-        silent: Duration::from_millis(silent_ms),
+        silence: Duration::from_millis(silent_ms),
         read_at: Instant::now(),
     })
 }
 
 /// A group of servers with these statuses, and the record of its primary, if any.
-fn group(statuses: [Option<Status>; 3], held: Option<Held>) -> Group {
+fn group(statuses: [Option<Status>; 3], stored: Option<StoredRecord>) -> Group {
     let config = Config::load(None).expect("the embedded settings");
     let server = |(index, status)| {
         let address = ([127, 0, 0, 1], 5000 + index as u16).into();
-        let latest = Latest::default();
+        let latest = StatusCell::default();
         latest.set(status);
         Server {
             address,
@@ -46,23 +46,23 @@
             status: latest,
             leaving: false,
             listed: true,
-            rest: Default::default(),
+            cooldown: Default::default(),
             superseded: Default::default(),
         }
     };
     Group {
         servers: statuses.into_iter().enumerate().map(server).collect(),
-        fresh_for: Duration::from_secs(1),
+        status_ttl: Duration::from_secs(1),
         claim_limit: Duration::from_secs(2),
-        held,
+        stored,
         unreadable: false,
         watched: true,
-        found: Default::default(),
+        discovery: Default::default(),
     }
 }
 
-fn held(term: u64, server: Option<u16>, seen: Duration) -> Option<Held> {
-    Some(Held {
+fn stored(term: u64, server: Option<u16>, seen: Duration) -> Option<StoredRecord> {
+    Some(StoredRecord {
         record: Record {
             term,
             server: server.map(|index| ([127, 0, 0, 1], 5000 + index).into()),
@@ -71,15 +71,15 @@
         },
         revision: 7,
         seen_at: Instant::now() - seen,
-        forgotten: false,
+        lost_in_restore: false,
     })
 }
 
 /// Whether the group counts as failed, led by its primary for `led`.
-fn failed(statuses: [Option<Status>; 3], held: Option<Held>, led: Duration) -> bool {
+fn failed(statuses: [Option<Status>; 3], stored: Option<StoredRecord>, led: Duration) -> bool {
     let now = Instant::now();
     let led_since = now.checked_sub(led);
-    judge(&group(statuses, held), led_since, LIMITS, now) == Verdict::Failed
+    diagnose(&group(statuses, stored), led_since, LIMITS, now) == Diagnosis::Failed
 }
 
 /// The primary is out of this proxy's sight. It has failed if both replicas miss it; one
@@ -126,7 +126,7 @@
         status(Role::Replica, 2, 400),
     ];
 
-    assert!(!failed(statuses, held(2, Some(1), recorded), led));
+    assert!(!failed(statuses, stored(2, Some(1), recorded), led));
 }
 
 /// Another proxy claimed the next term. It is left to it until the claim has had its time.
@@ -141,26 +141,26 @@
         status(Role::Replica, 2, 900),
     ];
 
-    assert_eq!(failed(statuses, held(2, None, seen), LONG_AGO), expected);
+    assert_eq!(failed(statuses, stored(2, None, seen), LONG_AGO), expected);
 }
 
 /// A proxy claimed a term and stopped before a server heard of it; the primary goes on at an
 /// earlier one. Its claim may still take effect, so it is passed over with a later term. To record
 /// the primary's own term would hand out the claimed one a second time.
 #[parameterized(
-    claim_above_its_term = { 2, 1, Verdict::Outranked },
-    claim_of_its_term = { 2, 2, Verdict::Unrecorded { term: 2, server: SERVER_0.into() } },
+    claim_above_its_term = { 2, 1, Diagnosis::StaleTerm },
+    claim_of_its_term = { 2, 2, Diagnosis::Unrecorded { term: 2, server: SERVER_0.into() } },
 )]
-fn lapsed_claim_is_passed_over(claimed: u64, led: u64, expected: Verdict) {
+fn lapsed_claim_is_passed_over(claimed: u64, led: u64, expected: Diagnosis) {
     let statuses = [
         status(Role::Primary, led, 0),
         status(Role::Replica, led, 5),
         status(Role::Replica, led, 5),
     ];
-    let group = group(statuses, held(claimed, None, LONG_AGO));
+    let group = group(statuses, stored(claimed, None, LONG_AGO));
     let now = Instant::now();
 
-    let verdict = judge(&group, now.checked_sub(LONG_AGO), LIMITS, now);
+    let diagnosis = diagnose(&group, now.checked_sub(LONG_AGO), LIMITS, now);
 
-    assert_eq!(verdict, expected);
+    assert_eq!(diagnosis, expected);
 }
--- a/crates/proxy/tests/counted.rs
+++ b/crates/proxy/tests/voters.rs
@@ -9,9 +9,9 @@
 use dandelionpitch_engine::roster::LIST_HOLDS;
 use dandelionpitch_proxy::{
     config::Config,
-    control::counted::Counted,
+    control::voters::Voters,
     pool,
-    view::{Group, Held, Latest, Role, Server, Status},
+    view::{Group, Role, Server, Status, StatusCell, StoredRecord},
 };
 
 const SYNC_REPLICAS: usize = 1;
@@ -22,17 +22,17 @@
 
 fn server(index: u16, lsn: u64, read_at: Instant) -> Server {
     let config = Config::load(None).expect("the embedded settings");
-    let status = Latest::default();
+    let status = StatusCell::default();
     status.set(Some(Status {
         role: match index {
             0 => Role::Primary,
             _ => Role::Replica,
         },
         term: 1,
-        log: 0,
+        log_id: 0,
         position: Position { term: 1, lsn },
         lag: Duration::ZERO,
-        silent: Duration::ZERO,
+        silence: Duration::ZERO,
         read_at,
     }));
     Server {
@@ -41,7 +41,7 @@
         status,
         leaving: false,
         listed: true,
-        rest: Default::default(),
+        cooldown: Default::default(),
         superseded: Default::default(),
     }
 }
@@ -56,12 +56,12 @@
     };
     Group {
         servers: logs.iter().map(|&(i, lsn)| server(i, lsn, now)).collect(),
-        fresh_for: Duration::from_secs(1),
-        held: Some(Held {
+        status_ttl: Duration::from_secs(1),
+        stored: Some(StoredRecord {
             record,
             revision: 7,
             seen_at: now,
-            forgotten: false,
+            lost_in_restore: false,
         }),
         ..Group::default()
     }
@@ -74,19 +74,19 @@
 fn server_taken_out_counts_until_the_others_have_its_commits() {
     let start = Instant::now();
     let later = start + LIST_HOLDS + Duration::from_secs(1);
-    let mut counted = Counted::new(start);
-    counted.update(
+    let mut voters = Voters::new(start);
+    voters.update(
         &group(&[(0, 10), (1, 5), (2, 10)], &[0, 1, 2], start),
         start,
     );
 
     let taken_out = start + Duration::from_millis(25);
-    counted.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], taken_out), taken_out);
-    let while_behind = counted.quorum(SYNC_REPLICAS);
-    counted.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], later), later);
-    let still_behind = counted.quorum(SYNC_REPLICAS);
-    counted.update(&group(&[(0, 10), (1, 10)], &[0, 1, 2], later), later);
-    let caught_up = counted.quorum(SYNC_REPLICAS);
+    voters.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], taken_out), taken_out);
+    let while_behind = voters.quorum(SYNC_REPLICAS);
+    voters.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], later), later);
+    let still_behind = voters.quorum(SYNC_REPLICAS);
+    voters.update(&group(&[(0, 10), (1, 10)], &[0, 1, 2], later), later);
+    let caught_up = voters.quorum(SYNC_REPLICAS);
 
     assert_eq!(while_behind, Some(2));
     assert_eq!(still_behind, Some(2));
@@ -98,11 +98,11 @@
 #[test]
 fn record_tells_a_new_proxy_of_a_server_taken_out() {
     let now = Instant::now();
-    let mut counted = Counted::new(now);
+    let mut voters = Voters::new(now);
 
-    counted.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], now), now);
+    voters.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], now), now);
 
-    assert_eq!(counted.quorum(SYNC_REPLICAS), Some(2));
+    assert_eq!(voters.quorum(SYNC_REPLICAS), Some(2));
 }
 
 /// The record is written again when it lacks a listed server, or names one that counts no longer;
@@ -114,14 +114,14 @@
     let grown = group(&[(0, 10), (1, 10), (2, 10)], &[0, 1], now);
     let shrunk = group(&[(0, 10), (1, 10)], &[0, 1, 2], now);
     let covered = group(&[(0, 10), (1, 10)], &[0, 1, 2], later);
-    let mut counted = Counted::new(now);
+    let mut voters = Voters::new(now);
 
-    counted.update(&grown, now);
-    let when_grown = counted.outdates(&grown);
-    counted.update(&shrunk, now);
-    let when_shrunk = counted.outdates(&shrunk);
-    counted.update(&covered, later);
-    let when_covered = counted.outdates(&covered);
+    voters.update(&grown, now);
+    let when_grown = voters.outdated_record(&grown);
+    voters.update(&shrunk, now);
+    let when_shrunk = voters.outdated_record(&shrunk);
+    voters.update(&covered, later);
+    let when_covered = voters.outdated_record(&covered);
 
     assert_eq!(when_grown, Some((1, address(0))));
     assert_eq!(when_shrunk, None);
@@ -136,15 +136,15 @@
     let grown = group(&[(0, 10), (1, 10), (2, 10), (3, 12)], &[0, 1, 2], now);
     let shrunk = group(&[(0, 12), (1, 10), (2, 10)], &[0, 1, 2], now);
     let written = group(&[(0, 12), (1, 10), (2, 10)], &[0, 1, 2, 3], now);
-    let mut counted = Counted::new(now);
+    let mut voters = Voters::new(now);
 
-    counted.update(&grown, now);
-    counted.update(&shrunk, now);
-    let outdated = counted.outdates(&shrunk);
+    voters.update(&grown, now);
+    voters.update(&shrunk, now);
+    let outdated = voters.outdated_record(&shrunk);
 
     assert_eq!(outdated, Some((1, address(0))));
-    assert!(counted.is_missing_in(&shrunk));
-    assert!(!counted.is_missing_in(&written));
+    assert!(voters.record_lacks_voter(&shrunk));
+    assert!(!voters.record_lacks_voter(&written));
 }
 
 /// Replica 2 was taken out and still hears from the primary. Guards against forgetting it.
@@ -157,13 +157,13 @@
         group.servers[2].listed = false;
         group
     };
-    let mut counted = Counted::new(start);
+    let mut voters = Voters::new(start);
 
-    counted.update(&taken_out(start), start);
-    counted.update(&taken_out(later), later);
-    counted.update(&taken_out(later), later);
+    voters.update(&taken_out(start), start);
+    voters.update(&taken_out(later), later);
+    voters.update(&taken_out(later), later);
 
-    assert_eq!(counted.quorum(SYNC_REPLICAS), Some(2));
+    assert_eq!(voters.quorum(SYNC_REPLICAS), Some(2));
 }
 
 /// A group is new and its record is not written yet. Guards against commits of which a proxy that starts
@@ -176,7 +176,7 @@
         ..group(&[(0, 10), (1, 10), (2, 10)], &[0, 1, 2], now)
     };
     let new = Group {
-        held: None,
+        stored: None,
         ..recorded.clone()
     };
 
@@ -194,14 +194,14 @@
     let now = Instant::now();
     let shrunk = group(&[(0, 12), (1, 10), (2, 10)], &[0, 1, 2, 3], now);
     let mut restored = group(&[(0, 12), (1, 10), (2, 10)], &[0, 1, 2], now);
-    if let Some(held) = &mut restored.held {
-        held.revision = era::stamp(1, 5);
+    if let Some(stored) = &mut restored.stored {
+        stored.revision = era::stamp(1, 5);
     }
-    let mut counted = Counted::new(now);
+    let mut voters = Voters::new(now);
 
-    counted.update(&shrunk, now);
-    counted.update(&restored, now);
+    voters.update(&shrunk, now);
+    voters.update(&restored, now);
 
-    assert_eq!(counted.quorum(SYNC_REPLICAS), Some(3));
-    assert!(counted.is_missing_in(&restored));
+    assert_eq!(voters.quorum(SYNC_REPLICAS), Some(3));
+    assert!(voters.record_lacks_voter(&restored));
 }
