--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -8,7 +8,7 @@
 
 pub mod assignment;
 pub mod backoff;
-pub mod diagnosis;
+pub mod decision;
 pub mod failover;
 mod groups;
 mod heartbeat;
@@ -33,7 +33,7 @@
 
 use self::{
     assignment::{Member, Roster},
-    failover::Watch,
+    failover::Coordinator,
     probe::Probe,
 };
 use crate::{
@@ -123,7 +123,7 @@
     };
     tokio::spawn(heartbeat::run(kv.clone(), record));
     let mut control = Control {
-        watch: Watch::new(config.clone(), kv),
+        coordinator: Coordinator::new(config.clone(), kv),
         config,
         metrics,
         publish,
@@ -192,7 +192,7 @@
     leaving: Vec<SocketAddr>,
     /// The last known primary of each group.
     led_by: Map<String, Leader>,
-    watch: Watch,
+    coordinator: Coordinator,
     /// The groups with a failover attempt under way.
     attempts: Set<String>,
 }
@@ -308,7 +308,7 @@
                 continue;
             };
             let led_by = self.led_by.get(name).copied();
-            if let Some(attempt) = self.watch.observe(listed, group, led_by, now) {
+            if let Some(attempt) = self.coordinator.next_attempt(listed, group, led_by, now) {
                 self.attempts.insert(name.clone());
                 tokio::spawn(report(attempt, self.out.clone()));
             }
@@ -321,7 +321,8 @@
         result: Result<failover::Outcome, failover::Error>,
     ) -> Change {
         self.attempts.remove(group);
-        self.watch.attempted(group, result.is_ok(), Instant::now());
+        self.coordinator
+            .note_attempt(group, result.is_ok(), Instant::now());
         self.hurry(group);
         match result {
             Ok(outcome) if outcome.promoted => {
--- a/crates/proxy/src/control/assignment.rs
+++ b/crates/proxy/src/control/assignment.rs
@@ -19,7 +19,7 @@
 
 /// How long a proxy that a list lacks still counts: by then every live one has renewed its lease,
 /// and a failed try and its repetition fit in.
-pub const MISSING_GRACE: Duration =
+pub const MISSING_TIMEOUT: Duration =
     Duration::from_secs(2 * heartbeat::RENEW_INTERVAL.as_secs() + 2);
 
 /// One live proxy.
@@ -58,7 +58,7 @@
     }
 
     /// Takes a complete list, as read at `now`. Proxies that it lacks go on counting for
-    /// [`MISSING_GRACE`].
+    /// [`MISSING_TIMEOUT`].
     ///
     /// Failure: the KV was away for longer than its leases last; the first list after its return
     /// holds the proxies that have renewed by then, and those few would watch every group. Guard:
@@ -69,7 +69,7 @@
         let lacked = known.filter(|known| !listed.contains(known)).cloned();
         let lacked: Vec<Member> = lacked.collect();
         for member in lacked {
-            self.missing.entry(member).or_insert(now + MISSING_GRACE);
+            self.missing.entry(member).or_insert(now + MISSING_TIMEOUT);
         }
         members.into_iter().for_each(|member| self.add(member));
     }
--- a/crates/proxy/src/control/diagnosis.rs
+++ b/crates/proxy/src/control/decision.rs
@@ -9,7 +9,7 @@
 
 /// What the statuses of a group's servers say about its primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Diagnosis {
+pub enum Decision {
     /// There is a primary, and it is not known to have failed.
     Healthy,
     /// There is no primary in sight, but too few replicas miss it, or another proxy is at it.
@@ -47,14 +47,14 @@
 /// Failure: right after a promotion the last statuses still tell of the old primary's silence,
 /// and the new one would be replaced in turn. Guard: for `grace` after it was recorded or
 /// first seen, silence is not held against it.
-pub fn diagnose(
+pub fn evaluate(
     group: &Group,
     led_since: Option<Instant>,
     limits: Limits,
     now: Instant,
-) -> Diagnosis {
+) -> Decision {
     if group.claimed(now) {
-        return Diagnosis::Undecided;
+        return Decision::Undecided;
     }
     let recorded_at = group.stored.as_ref().map(|stored| stored.seen_at);
     let newest = recorded_at.max(led_since);
@@ -64,17 +64,17 @@
         .filter(|(_, status)| status.role == Role::Replica && status.silence >= limits.after)
         .count();
     if missing >= limits.quorum && settled {
-        return Diagnosis::Failed;
+        return Decision::Failed;
     }
     match group
         .leader(now)
         .and_then(|index| Some((index, group.servers[index].status.get()?)))
     {
-        None => Diagnosis::Undecided,
+        None => Decision::Undecided,
         Some((index, led)) => match group.fresh_statuses(now).any(|(_, s)| s.term > led.term) {
-            true => Diagnosis::StaleTerm,
+            true => Decision::StaleTerm,
             false if group.servers[index].leaving && stay(group, now) >= limits.quorum => {
-                Diagnosis::Leaving
+                Decision::Leaving
             }
             false => recorded(group, led.term, group.servers[index].address),
         },
@@ -96,11 +96,11 @@
 /// when the first one goes on, two primaries lead at it and overwrite each other's commits.
 /// Guard: the record never goes back; a later term is taken, which the servers then hold against
 /// the paused claimant.
-fn recorded(group: &Group, term: u64, server: SocketAddr) -> Diagnosis {
+fn recorded(group: &Group, term: u64, server: SocketAddr) -> Decision {
     let record = group.stored.as_ref().map(|stored| &stored.record);
     match record {
-        Some(record) if record.server.is_none() && record.term > term => Diagnosis::StaleTerm,
-        Some(record) if record.server.is_some() && record.term >= term => Diagnosis::Healthy,
-        _ => Diagnosis::Unrecorded { term, server },
+        Some(record) if record.server.is_none() && record.term > term => Decision::StaleTerm,
+        Some(record) if record.server.is_some() && record.term >= term => Decision::Healthy,
+        _ => Decision::Unrecorded { term, server },
     }
 }
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -24,7 +24,7 @@
 
 use super::{
     backoff::{self, Backoff},
-    diagnosis::{self, Diagnosis, Limits},
+    decision::{self, Decision, Limits},
     voters::{History, Voters},
     Leader,
 };
@@ -97,8 +97,8 @@
 
 /// What is remembered of one group.
 #[derive(Debug)]
-struct Memory {
-    diagnosis: Diagnosis,
+struct Monitor {
+    decision: Decision,
     /// Since when the verdict has been the same.
     since: Instant,
     backoff: Backoff,
@@ -107,15 +107,15 @@
     voters: Voters,
 }
 
-/// The memory of the failover role.
+/// The monitor of the failover role.
 #[derive(Debug)]
-pub struct Watch {
+pub struct Coordinator {
     config: Config,
     kv: kv::Client,
-    groups: Map<String, Memory>,
+    groups: Map<String, Monitor>,
 }
 
-impl Watch {
+impl Coordinator {
     /// A watch that has seen nothing yet.
     pub fn new(config: Config, kv: kv::Client) -> Self {
         Self {
@@ -127,66 +127,66 @@
 
     /// Judges one group, last seen led by `led_by`; returns an attempt when it is time for
     /// this proxy to make one.
-    pub fn observe(
+    pub fn next_attempt(
         &mut self,
         group: &bundle::Group,
         view: &view::Group,
         led_by: Option<Leader>,
         now: Instant,
     ) -> Option<Attempt> {
-        let memory = self.remember(&group.name, now);
-        memory.voters.update(view, now);
-        let quorum = memory.voters.quorum(group.sync_replicas)?;
-        let outdated = memory.voters.outdated_record(view);
-        let missing = memory.voters.record_lacks_voter(view);
+        let monitor = self.monitor_mut(&group.name, now);
+        monitor.voters.update(view, now);
+        let quorum = monitor.voters.quorum(group.sync_replicas)?;
+        let outdated = monitor.voters.outdated_record(view);
+        let missing = monitor.voters.record_lacks_voter(view);
         let after = self.config.failover.after;
         let limits = Limits {
             quorum,
             after,
             grace: after + 2 * self.config.backend.status_every,
         };
-        let diagnosis = diagnosis::diagnose(view, led_by.map(|leader| leader.since), limits, now);
-        let diagnosis = match (diagnosis, outdated) {
-            (Diagnosis::Healthy, Some((term, server))) => Diagnosis::Unrecorded { term, server },
-            _ => diagnosis,
+        let decision = decision::evaluate(view, led_by.map(|leader| leader.since), limits, now);
+        let decision = match (decision, outdated) {
+            (Decision::Healthy, Some((term, server))) => Decision::Unrecorded { term, server },
+            _ => decision,
         };
-        let wait = self.wait(&group.name, diagnosis, missing);
-        let memory = self.remember(&group.name, now);
-        if memory.diagnosis != diagnosis {
-            memory.diagnosis = diagnosis;
-            memory.since = now;
+        let wait = self.wait(&group.name, decision, missing);
+        let monitor = self.monitor_mut(&group.name, now);
+        if monitor.decision != decision {
+            monitor.decision = decision;
+            monitor.since = now;
         }
-        if now < memory.since + wait || now < memory.not_before {
+        if now < monitor.since + wait || now < monitor.not_before {
             return None;
         }
-        let task = match diagnosis {
-            Diagnosis::Healthy | Diagnosis::Undecided => return None,
-            Diagnosis::Failed | Diagnosis::Leaving => Task::Replace {
+        let task = match decision {
+            Decision::Healthy | Decision::Undecided => return None,
+            Decision::Failed | Decision::Leaving => Task::Replace {
                 suspect: led_by.map(|leader| leader.server),
             },
-            Diagnosis::StaleTerm => Task::Replace { suspect: None },
-            Diagnosis::Unrecorded { term, server } => Task::Record { term, server },
+            Decision::StaleTerm => Task::Replace { suspect: None },
+            Decision::Unrecorded { term, server } => Task::Record { term, server },
         };
         let voters = &self.groups[&group.name].voters;
         Some(self.attempt(task, group, view, voters, quorum, now))
     }
 
     /// Notes how an attempt on `group` ended, which says when the next one may be made.
-    pub fn attempted(&mut self, group: &str, success: bool, now: Instant) {
-        let memory = self.remember(group, now);
-        memory.since = now;
+    pub fn note_attempt(&mut self, group: &str, success: bool, now: Instant) {
+        let monitor = self.monitor_mut(group, now);
+        monitor.since = now;
         match success {
-            true => memory.backoff.reset(),
-            false => memory.not_before = now + memory.backoff.next_delay(),
+            true => monitor.backoff.reset(),
+            false => monitor.not_before = now + monitor.backoff.next_delay(),
         }
     }
 
-    fn remember(&mut self, group: &str, now: Instant) -> &mut Memory {
+    fn monitor_mut(&mut self, group: &str, now: Instant) -> &mut Monitor {
         let salt = backoff::salt(&self.config.id);
         self.groups
             .entry(group.to_owned())
-            .or_insert_with(|| Memory {
-                diagnosis: Diagnosis::Healthy,
+            .or_insert_with(|| Monitor {
+                decision: Decision::Healthy,
                 since: now,
                 backoff: Backoff::new(RETRY.0, RETRY.1, salt),
                 not_before: now,
@@ -199,15 +199,15 @@
     ///
     /// A record in which a server that counts is `missing` is written at once: until then a proxy
     /// that starts cannot know of that server once it is taken out of the list.
-    fn wait(&self, group: &str, diagnosis: Diagnosis, missing: bool) -> Duration {
+    fn wait(&self, group: &str, decision: Decision, missing: bool) -> Duration {
         let share = backoff::share(&(&self.config.id, group));
         let spread = self.config.failover.spread.mul_f64(share);
-        match diagnosis {
-            Diagnosis::Healthy | Diagnosis::Undecided | Diagnosis::Failed | Diagnosis::Leaving => {
+        match decision {
+            Decision::Healthy | Decision::Undecided | Decision::Failed | Decision::Leaving => {
                 spread
             }
-            Diagnosis::Unrecorded { .. } if missing => Duration::ZERO,
-            Diagnosis::StaleTerm | Diagnosis::Unrecorded { .. } => {
+            Decision::Unrecorded { .. } if missing => Duration::ZERO,
+            Decision::StaleTerm | Decision::Unrecorded { .. } => {
                 self.config.failover.claim_limit + spread
             }
         }
--- a/crates/proxy/tests/assignment.rs
+++ b/crates/proxy/tests/assignment.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use dandelionpitch_proxy::control::assignment::{Member, Roster, MISSING_GRACE};
+use dandelionpitch_proxy::control::assignment::{Member, Roster, MISSING_TIMEOUT};
 
 fn member(index: usize) -> Member {
     Member {
@@ -27,8 +27,8 @@
     roster.replace(vec![member(0)], now);
     let at_once = roster.len();
     roster.add(member(1));
-    let changed_early = roster.expire(now + MISSING_GRACE - Duration::from_millis(1));
-    let changed_late = roster.expire(now + MISSING_GRACE);
+    let changed_early = roster.expire(now + MISSING_TIMEOUT - Duration::from_millis(1));
+    let changed_late = roster.expire(now + MISSING_TIMEOUT);
 
     assert_eq!(at_once, 12);
     assert!(!changed_early);
--- a/crates/proxy/tests/diagnosis.rs
+++ b/crates/proxy/tests/decision.rs
@@ -5,7 +5,7 @@
 use dandelionpitch_core::{position::Position, primary::Record};
 use dandelionpitch_proxy::{
     config::Config,
-    control::diagnosis::{diagnose, Diagnosis, Limits},
+    control::decision::{evaluate, Decision, Limits},
     pool,
     view::{Group, Role, Server, Status, StatusCell, StoredRecord},
 };
@@ -79,7 +79,7 @@
 fn failed(statuses: [Option<Status>; 3], stored: Option<StoredRecord>, led: Duration) -> bool {
     let now = Instant::now();
     let led_since = now.checked_sub(led);
-    diagnose(&group(statuses, stored), led_since, LIMITS, now) == Diagnosis::Failed
+    evaluate(&group(statuses, stored), led_since, LIMITS, now) == Decision::Failed
 }
 
 /// The primary is out of this proxy's sight. It has failed if both replicas miss it; one
@@ -148,10 +148,10 @@
 /// earlier one. Its claim may still take effect, so it is passed over with a later term. To record
 /// the primary's own term would hand out the claimed one a second time.
 #[parameterized(
-    claim_above_its_term = { 2, 1, Diagnosis::StaleTerm },
-    claim_of_its_term = { 2, 2, Diagnosis::Unrecorded { term: 2, server: SERVER_0.into() } },
+    claim_above_its_term = { 2, 1, Decision::StaleTerm },
+    claim_of_its_term = { 2, 2, Decision::Unrecorded { term: 2, server: SERVER_0.into() } },
 )]
-fn lapsed_claim_is_passed_over(claimed: u64, led: u64, expected: Diagnosis) {
+fn lapsed_claim_is_passed_over(claimed: u64, led: u64, expected: Decision) {
     let statuses = [
         status(Role::Primary, led, 0),
         status(Role::Replica, led, 5),
@@ -160,7 +160,7 @@
     let group = group(statuses, stored(claimed, None, LONG_AGO));
     let now = Instant::now();
 
-    let diagnosis = diagnose(&group, now.checked_sub(LONG_AGO), LIMITS, now);
+    let decision = evaluate(&group, now.checked_sub(LONG_AGO), LIMITS, now);
 
-    assert_eq!(diagnosis, expected);
+    assert_eq!(decision, expected);
 }
