--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -1,10 +1,10 @@
-//! The control part of the proxy: follows the bundle and the primary records in the platform
-//! KV, reads each backend server's status, replaces failed primaries, and publishes a [`View`]
-//! to traffic.
+//! The control side of the proxy: watches the configuration bundle and the primary records in
+//! the key-value store (KV), polls the status of the backend servers, replaces failed primaries,
+//! and publishes a [`View`] to the traffic threads.
 //!
 //! All control state lives on one thread with its own runtime; traffic threads only read the
-//! published views (`docs/DESIGN.md`, "Threads"). Whatever waits for another machine runs as
-//! a task of its own on that thread and reports back by [`Message`].
+//! published views (`docs/DESIGN.md`, "Threads"). Network I/O runs in separate tasks on that
+//! thread, which send their results as [`Message`]s.
 
 pub mod assignment;
 pub mod backoff;
@@ -42,41 +42,40 @@
     view::{Group, Server, Status, StoredRecord, View},
 };
 
-/// How often the groups are judged.
-const TICK: Duration = Duration::from_millis(25);
-/// How many messages may wait for the control loop.
-const QUEUE: usize = 256;
+/// How often the state of all groups is evaluated.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+const QUEUE_CAPACITY: usize = 256;
 
-/// What a control task reports to the control loop.
+/// A result that a control task sends to the control loop.
 #[derive(Debug)]
 pub enum Message {
-    /// A bundle from the KV; not necessarily a newer one.
+    /// A bundle read from the KV, which may be older than the applied one.
     Bundle(Bundle),
-    /// A group's primary record from the KV.
+    /// A group's primary record read from the KV.
     Record { group: String, stored: StoredRecord },
-    /// The KV came back from a copy.
+    /// The KV was restored from a backup.
     Restored { era: u64 },
-    /// A group's primary record in the KV cannot be read.
-    Unreadable { group: String },
-    /// All live proxies.
+    /// A group's primary record in the KV cannot be parsed.
+    UnreadableRecord { group: String },
+    /// The complete list of live proxies.
     Members(Vec<Member>),
-    /// A proxy that has come or gone.
+    /// A proxy joined (`present`) or left.
     Member { member: Member, present: bool },
-    /// The servers that are leaving now.
+    /// The complete list of leaving servers.
     Leaving(Vec<SocketAddr>),
-    /// A server's status, `None` when it could not be read.
+    /// A server's status, or `None` if the server did not report it in time.
     Status {
         address: SocketAddr,
         status: Option<Status>,
     },
-    /// A failover attempt on a group has ended.
-    Attempted {
+    /// A failover attempt on a group finished.
+    AttemptFinished {
         group: String,
         result: Result<failover::Outcome, failover::Error>,
     },
 }
 
-/// Where this process listens, once it does.
+/// The bound listen addresses of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     pub listen: SocketAddr,
@@ -109,11 +108,11 @@
     publish: watch::Sender<Arc<View>>,
 ) {
     let kv = kv::Client::new(&config.kv);
-    let (out, mut messages) = mpsc::channel(QUEUE);
+    let (tx, mut rx) = mpsc::channel(QUEUE_CAPACITY);
     let salt = backoff::salt(&config.id);
-    tokio::spawn(kv_watch::run(kv.clone(), salt, out.clone()));
+    tokio::spawn(kv_watch::run(kv.clone(), salt, tx.clone()));
     if let Some(url) = &config.vms {
-        tokio::spawn(vms::run(url.clone(), out.clone()));
+        tokio::spawn(vms::run(url.clone(), tx.clone()));
     }
     let record = heartbeat::Record {
         id: config.id.clone(),
@@ -127,7 +126,7 @@
         config,
         metrics,
         publish,
-        out,
+        tx,
         bundle: None,
         groups: Map::default(),
         records: Map::default(),
@@ -135,15 +134,15 @@
         probes: Map::default(),
         leaving: Vec::new(),
         members: Roster::default(),
-        led_by: Map::default(),
+        leaders: Map::default(),
         attempts: Set::default(),
     };
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            Some(message) = messages.recv() => match control.take(message) {
-                Change::Nothing => {}
+            Some(message) = rx.recv() => match control.handle(message) {
+                Change::Unchanged => {}
                 Change::Routing => control.publish(),
             },
             _ = tick.tick() => {
@@ -151,7 +150,7 @@
                     control.assign();
                     control.publish();
                 }
-                control.judge();
+                control.start_failovers();
             }
         }
     }
@@ -161,16 +160,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Leader {
     pub server: SocketAddr,
-    /// When this proxy first saw it lead.
+    /// When this proxy first saw it as primary.
     pub since: Instant,
 }
 
-/// Whether a message changed what traffic goes by.
+/// Whether a message changed data that requests are routed by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Change {
-    /// No, or only positions and lags, which traffic reads as they are.
-    Nothing,
-    /// Who leads, who is there, or the bundle: published at once.
+    /// Unchanged, or only positions and lags, which sessions read without a new [`View`].
+    Unchanged,
+    /// A primary, the set of servers or proxies, or the bundle changed: a new [`View`] is published.
     Routing,
 }
 
@@ -178,32 +177,32 @@
     config: Config,
     metrics: Metrics,
     publish: watch::Sender<Arc<View>>,
-    out: mpsc::Sender<Message>,
+    tx: mpsc::Sender<Message>,
     bundle: Option<Arc<Bundle>>,
     groups: Map<String, Group>,
-    /// The primary records by group; kept apart from the groups, which come with the bundle.
+    /// The primary records by group. A record can arrive before the bundle that lists its group.
     records: Map<String, StoredRecord>,
-    /// The groups whose records could not be read.
+    /// The groups whose primary records cannot be parsed.
     unreadable: Set<String>,
     probes: Map<SocketAddr, Probe>,
-    /// The live proxies, as far as the KV has told.
+    /// The live proxies, as known from the KV.
     members: Roster,
-    /// The servers that are leaving, whatever group lists them.
+    /// The leaving servers of all groups.
     leaving: Vec<SocketAddr>,
-    /// The last known primary of each group.
-    led_by: Map<String, Leader>,
+    /// The last known primary by group.
+    leaders: Map<String, Leader>,
     coordinator: Coordinator,
-    /// The groups with a failover attempt under way.
+    /// The groups with a failover attempt in progress.
     attempts: Set<String>,
 }
 
 impl Control {
-    fn take(&mut self, message: Message) -> Change {
+    fn handle(&mut self, message: Message) -> Change {
         match message {
-            Message::Bundle(bundle) => self.apply(bundle),
-            Message::Record { group, stored } => self.hold(group, stored),
-            Message::Restored { era } => self.restore(era),
-            Message::Unreadable { group } => self.pass_over(group),
+            Message::Bundle(bundle) => self.apply_bundle(bundle),
+            Message::Record { group, stored } => self.apply_record(group, stored),
+            Message::Restored { era } => self.handle_restore(era),
+            Message::UnreadableRecord { group } => self.mark_unreadable(group),
             Message::Members(members) => {
                 self.members.replace(members, Instant::now());
                 self.assign()
@@ -215,58 +214,58 @@
                 }
                 self.assign()
             }
-            Message::Leaving(servers) => self.leave(servers),
-            Message::Status { address, status } => self.note(address, status),
-            Message::Attempted { group, result } => self.attempted(&group, result),
+            Message::Leaving(servers) => self.mark_leaving(servers),
+            Message::Status { address, status } => self.update_status(address, status),
+            Message::AttemptFinished { group, result } => self.finish_attempt(&group, result),
         }
     }
 
-    fn hurry(&self, group: &str) {
+    /// Polls all servers of `group` without waiting for the next period.
+    fn probe_now(&self, group: &str) {
         let servers = self.groups.get(group).into_iter().flat_map(|g| &g.servers);
         for server in servers {
             if let Some(probe) = self.probes.get(&server.address) {
-                probe.hurry();
+                probe.read_now();
             }
         }
     }
 
-    /// Notes a server's status in every group that lists it.
-    fn note(&mut self, address: SocketAddr, status: Option<Status>) -> Change {
-        let mut change = Change::Nothing;
+    /// Stores a server's status in every watched group that contains the server.
+    fn update_status(&mut self, address: SocketAddr, status: Option<Status>) -> Change {
+        let mut change = Change::Unchanged;
         for group in self.groups.values_mut() {
             if !group.watched {
                 continue;
             }
             for server in group.servers.iter_mut().filter(|s| s.address == address) {
                 let old = server.status.set(status);
-                let lead = |status: Option<Status>| status.map(|s| (s.role, s.term));
-                if lead(old) != lead(status) {
+                let leadership = |status: Option<Status>| status.map(|s| (s.role, s.term));
+                if leadership(old) != leadership(status) {
                     change = Change::Routing;
                 }
                 if old.is_some() && status.is_none() {
-                    drop_idle(server);
+                    close_idle(server);
                 }
             }
         }
         if change == Change::Routing {
-            self.supersede();
+            self.update_leaders();
         }
         change
     }
 
-    /// Where a group has a new primary, cancels what is under way on the old one.
+    /// Records each group's current primary, and cancels in-flight statements on a replaced one.
     ///
-    /// Failure: a statement sent to a primary that was cut off would wait for its answer until
-    /// the caller's timeout, though it is known that no commit there can be acknowledged any
-    /// more. Guard: it gets "outcome unknown" as soon as the successor is seen.
-    fn supersede(&mut self) {
+    /// A partitioned old primary cannot acknowledge a commit any more, so its callers get
+    /// "outcome unknown" at once instead of waiting for their timeout.
+    fn update_leaders(&mut self) {
         let now = Instant::now();
         for (name, group) in &mut self.groups {
             let Some(index) = group.leader(now) else {
                 continue;
             };
             let leader = group.servers[index].address;
-            let known = self.led_by.get(name).map(|known| known.server);
+            let known = self.leaders.get(name).map(|known| known.server);
             if known == Some(leader) {
                 continue;
             }
@@ -274,11 +273,11 @@
                 server: leader,
                 since: now,
             };
-            self.led_by.insert(name.clone(), since);
+            self.leaders.insert(name.clone(), since);
             let Some(old) = known else {
                 continue;
             };
-            log::info!(target: "control", "Group {name} is led by {leader} (was {old}).");
+            log::info!(target: "control", "Primary of group {name} is now {leader} (was {old}).");
             for server in group.servers.iter_mut().filter(|s| s.address == old) {
                 server.superseded.cancel();
                 server.superseded = CancellationToken::new();
@@ -294,8 +293,8 @@
         }));
     }
 
-    /// Judges every group and starts the failover attempts that are due.
-    fn judge(&mut self) {
+    /// Evaluates every watched group and starts the failover attempts that are due.
+    fn start_failovers(&mut self) {
         let Some(bundle) = self.bundle.clone() else {
             return;
         };
@@ -307,15 +306,15 @@
             let Some(listed) = bundle.groups.get(name) else {
                 continue;
             };
-            let led_by = self.led_by.get(name).copied();
-            if let Some(attempt) = self.coordinator.next_attempt(listed, group, led_by, now) {
+            let leader = self.leaders.get(name).copied();
+            if let Some(attempt) = self.coordinator.next_attempt(listed, group, leader, now) {
                 self.attempts.insert(name.clone());
-                tokio::spawn(report(attempt, self.out.clone()));
+                tokio::spawn(report(attempt, self.tx.clone()));
             }
         }
     }
 
-    fn attempted(
+    fn finish_attempt(
         &mut self,
         group: &str,
         result: Result<failover::Outcome, failover::Error>,
@@ -323,39 +322,38 @@
         self.attempts.remove(group);
         self.coordinator
             .note_attempt(group, result.is_ok(), Instant::now());
-        self.hurry(group);
+        self.probe_now(group);
         match result {
             Ok(outcome) if outcome.promoted => {
                 self.metrics.promotion();
                 let failover::Outcome { term, server, .. } = outcome;
-                log::info!(target: "failover", "Promoted {server} of group {group} at term {term}.");
+                log::info!(target: "failover", "Promoted {server} to primary of group {group} at term {term}.");
             }
             Ok(outcome) => {
-                log::info!(target: "failover", "Recorded term {} of group {group}.", outcome.term)
+                log::info!(target: "failover", "Recorded the primary of group {group} at term {}.", outcome.term)
             }
             Err(error) => {
-                log::warn!(target: "failover", "Group {group} keeps its primary: {error}.")
+                log::warn!(target: "failover", "Failover of group {group} failed: {error}.")
             }
         }
-        Change::Nothing
+        Change::Unchanged
     }
 }
 
-/// Closes the idle pooled connections to a server that has stopped answering status reads.
+/// Closes the idle pooled connections to a server whose status could not be read.
 ///
-/// Failure: something on the way lost track of all connections to the server; the status read
-/// opens a new one and finds it well, but each pooled one costs a caller its whole timeout.
-/// Guard: what was idle when the old status connection fell silent is not used again.
-fn drop_idle(server: &Server) {
+/// A network device may have dropped all established connections without closing them. The next
+/// status read opens a new one and succeeds, but a request on a pooled one would time out.
+fn close_idle(server: &Server) {
     let dropped = server.pool.retain(|_, _| false).removed.len();
     if dropped > 0 {
         let address = server.address;
-        log::info!(target: "control", "Dropped {dropped} idle connections to {address}.");
+        log::info!(target: "control", "Closed {dropped} idle connections to unresponsive server {address}.");
     }
 }
 
-async fn report(attempt: failover::Attempt, out: mpsc::Sender<Message>) {
+async fn report(attempt: failover::Attempt, tx: mpsc::Sender<Message>) {
     let group = attempt.group().to_owned();
     let result = attempt.run().await;
-    let _ = out.send(Message::Attempted { group, result }).await;
+    let _ = tx.send(Message::AttemptFinished { group, result }).await;
 }
--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -1,11 +1,12 @@
-//! Growing pauses between tries, different in each proxy.
+//! Exponential backoff with jitter that is deterministic per proxy.
 
 use std::time::Duration;
 
 pub use dandelionpitch_core::hash::{salt, share};
 
-/// The pauses after successive failures: each twice the last, up to a limit, less a part that
-/// depends on the salt and the count, so that proxies that failed together do not try together.
+/// The delays after successive failures: each doubles up to `longest`, less a jitter of at most
+/// half. The jitter depends on the salt and the failure count, so that proxies that failed at the
+/// same time do not retry at the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     first: Duration,
@@ -15,7 +16,7 @@
 }
 
 impl Backoff {
-    /// A backoff with no failure yet.
+    /// Creates a backoff with no failures. `salt` should differ between proxies.
     pub fn new(first: Duration, longest: Duration, salt: u64) -> Self {
         Self {
             first,
@@ -25,21 +26,21 @@
         }
     }
 
-    /// How many failures there were since the last success.
+    /// The number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Notes a success.
+    /// Resets the failure count after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes a failure; returns how long to wait.
+    /// Counts a failure and returns the delay before the next attempt.
     pub fn next_delay(&mut self) -> Duration {
         let doubled = self.first.saturating_mul(1 << self.failures.min(16));
-        let most = doubled.min(self.longest);
+        let limit = doubled.min(self.longest);
         self.failures = self.failures.saturating_add(1);
-        most - most.mul_f64(share(&(self.salt, self.failures)) / 2.0)
+        limit - limit.mul_f64(share(&(self.salt, self.failures)) / 2.0)
     }
 }
--- a/crates/proxy/src/control/groups.rs
+++ b/crates/proxy/src/control/groups.rs
@@ -20,13 +20,13 @@
     ///
     /// Failure: a watch replay or a late answer offers an older bundle, and applying it would
     /// revert the configuration. Guard: only a strictly higher version is applied.
-    pub(super) fn apply(&mut self, bundle: Bundle) -> Change {
+    pub(super) fn apply_bundle(&mut self, bundle: Bundle) -> Change {
         let current = self.bundle.as_ref().map_or(0, |bundle| bundle.version);
         if bundle.version <= current {
             if bundle.version < current {
                 log::info!(target: "control", "Kept version {current}; offered {}.", bundle.version);
             }
-            return Change::Nothing;
+            return Change::Unchanged;
         }
         log::info!(target: "control", "Applied bundle version {} (was {current}).", bundle.version);
         self.bundle = Some(Arc::new(bundle));
@@ -36,7 +36,7 @@
     /// Builds all groups anew from the bundle in force and the records.
     fn rebuild(&mut self) -> Change {
         let Some(bundle) = self.bundle.clone() else {
-            return Change::Nothing;
+            return Change::Unchanged;
         };
         let listed = bundle.groups.values().flat_map(|group| &group.servers);
         let listed: Set<SocketAddr> = listed.copied().collect();
@@ -67,7 +67,7 @@
             }
             for server in &group.servers {
                 let address = server.address;
-                let start = || Probe::start(address, name, &self.config, self.out.clone());
+                let start = || Probe::start(address, name, &self.config, self.tx.clone());
                 let probe = probes.remove(&address).unwrap_or_else(start);
                 self.probes.insert(address, probe);
             }
@@ -133,10 +133,10 @@
 
     /// Takes a primary record from the KV unless it is older than the one held, and looks at
     /// the group's servers at once.
-    pub(super) fn hold(&mut self, group: String, stored: StoredRecord) -> Change {
+    pub(super) fn apply_record(&mut self, group: String, stored: StoredRecord) -> Change {
         let known = self.records.get(&group);
         if known.is_some_and(|known| stored.revision <= known.revision) {
-            return Change::Nothing;
+            return Change::Unchanged;
         }
         let stored = match known {
             Some(known) => known.reconcile(stored),
@@ -157,14 +157,14 @@
         if others {
             self.rebuild();
         }
-        self.hurry(&group);
-        self.supersede();
+        self.probe_now(&group);
+        self.update_leaders();
         Change::Routing
     }
 
     /// Notes that the KV came back from a copy: what it does not hold any more is written as if nothing had
     /// been there.
-    pub(super) fn restore(&mut self, era: u64) -> Change {
+    pub(super) fn handle_restore(&mut self, era: u64) -> Change {
         log::warn!(target: "control", "The KV came back from a copy; era {era}.");
         for (group, stored) in &mut self.records {
             stored.lost_in_restore = true;
@@ -177,7 +177,7 @@
     }
 
     /// Notes that the KV has a record of the group that cannot be read.
-    pub(super) fn pass_over(&mut self, group: String) -> Change {
+    pub(super) fn mark_unreadable(&mut self, group: String) -> Change {
         if let Some(known) = self.groups.get_mut(&group) {
             known.unreadable = true;
         }
@@ -186,7 +186,7 @@
     }
 
     /// Marks the servers that are leaving, in every group.
-    pub(super) fn leave(&mut self, leaving: Vec<SocketAddr>) -> Change {
+    pub(super) fn mark_leaving(&mut self, leaving: Vec<SocketAddr>) -> Change {
         for server in self.groups.values_mut().flat_map(|g| &mut g.servers) {
             let leaves = !server.listed || leaving.contains(&server.address);
             if leaves && !server.leaving {
--- a/crates/proxy/src/control/heartbeat.rs
+++ b/crates/proxy/src/control/heartbeat.rs
@@ -1,25 +1,25 @@
-//! This proxy's heartbeat record in the platform KV, by which operators find it.
+//! This proxy's heartbeat record in the key-value store (KV), by which operators and other
+//! proxies find it.
 //!
-//! The record says only where the proxy is; what it runs, `dpctl status` asks the proxy
-//! itself. So a new bundle makes no proxy write to the KV (`docs/CAPACITY.md`).
+//! The record contains only the proxy's location. `dpctl status` asks the proxy itself for its
+//! bundle version, so a new bundle causes no KV writes by the proxies (`docs/CAPACITY.md`).
 
 use std::{net::SocketAddr, time::Duration};
 
 use dandelionpitch_core::{keys, kv, Error};
 use serde::Serialize;
 
-/// The lease of the heartbeat record, in seconds.
+/// The lease duration of the heartbeat record.
 ///
-/// Failure: all watchers of a group die together, and their records are all that says so; with the
-/// primary dead as well there are no writes until the leases have run out. 9 s leave three for the
-/// failover of the 12 s in which service must be back, and three renewals fit in.
+/// If all watchers of a group and its primary fail together, failover starts only after the leases
+/// of the watchers expire, so the duration must leave time for it within the recovery objective.
+/// It also covers several renewals, so that one failed renewal does not lose the lease.
 pub const LEASE_TTL_SECS: u64 = 9;
-/// How often the lease is renewed; each renewal is a read of the KV (`docs/CAPACITY.md`).
+/// Each renewal is a read of the KV (`docs/CAPACITY.md`).
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
-/// Pause before another try after the KV failed.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The record, read by `dpctl status`.
+/// The heartbeat record, read by `dpctl status`.
 #[derive(Debug, Serialize)]
 pub struct Record {
     pub id: String,
@@ -28,22 +28,22 @@
     pub operator: SocketAddr,
 }
 
-/// Keeps the record in the KV for as long as the process runs.
+/// Keeps the record in the KV as long as the process runs.
 pub async fn run(kv: kv::Client, record: Record) {
     let mut lease = None;
     loop {
         let pause = match renew(&kv, &record, &mut lease).await {
             Ok(()) => RENEW_INTERVAL,
             Err(error) => {
-                log::warn!(target: "control", "Heartbeat failed: {error}.");
-                RETRY
+                log::warn!(target: "control", "Could not renew the heartbeat record: {error}.");
+                RETRY_INTERVAL
             }
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Renews the lease, or takes a new one and writes the record under it.
+/// Renews the lease, or if it expired, acquires a new one and writes the record under it.
 async fn renew(
     kv: &kv::Client,
     record: &Record,
--- a/crates/proxy/src/control/kv_watch.rs
+++ b/crates/proxy/src/control/kv_watch.rs
@@ -1,5 +1,6 @@
-//! Follows what the platform KV says to all proxies: the bundle, the record of each group's
-//! primary, and who is there. One watch carries all, because the KV counts every waiting watch.
+//! Watches the key-value store (KV) for the bundle, the groups' primary records and the
+//! heartbeat records of the proxies. A single watch covers all of them to keep the number of open
+//! watches at the KV low.
 
 use std::time::{Duration, Instant};
 
@@ -15,26 +16,26 @@
 use super::{assignment::Member, backoff::Backoff, Message};
 use crate::view::StoredRecord;
 
-/// The pause after the first failure, and the longest one. A fleet that all asked again at
-/// once would keep a recovering KV down.
-const RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(4));
+/// The first and the longest backoff. Simultaneous retries of all proxies would overload a
+/// recovering KV.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(4));
 
-/// Sends every bundle and record that is in the KV or comes into it, until nobody listens; says before it
-/// when the KV has come back from a copy.
+/// Sends the current and all later bundles, primary records and proxy changes until the receiver
+/// closes. After a restore of the KV from a backup, sends [`Message::Restored`] first.
 ///
-/// `salt` tells this proxy's retries apart from others'.
-pub async fn run(kv: kv::Client, salt: u64, out: mpsc::Sender<Message>) {
-    let mut backoff = Backoff::new(RETRY.0, RETRY.1, salt);
+/// `salt` determines the jitter of this proxy's retries.
+pub async fn run(kv: kv::Client, salt: u64, tx: mpsc::Sender<Message>) {
+    let mut backoff = Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1, salt);
     let mut next = None;
     let mut era = None;
-    while !out.is_closed() {
-        match follow(&kv, &mut next, &mut era, &out).await {
+    while !tx.is_closed() {
+        match list_and_watch(&kv, &mut next, &mut era, &tx).await {
             Ok(()) => backoff.reset(),
             Err(error) => {
-                // What was missed meanwhile may be gone from the KV's history: read it all.
+                // The KV may have compacted the revisions missed meanwhile, so list everything again.
                 next = None;
                 if backoff.failures() == 0 {
-                    log::warn!(target: "control", "Lost the platform KV: {error}.");
+                    log::warn!(target: "control", "Could not read or watch the KV: {error}.");
                 }
                 tokio::time::sleep(backoff.next_delay()).await;
             }
@@ -42,16 +43,16 @@
     }
 }
 
-/// Reads what is there, unless `next` says from which revision to go on, then watches until
-/// the watch ends.
+/// Lists all keys, unless `next` is the revision to resume from, then watches until the watch
+/// ends.
 ///
-/// The watch starts after the newest revision read, so a change between the two calls is not
+/// The watch starts after the newest revision listed, so a change between the two calls is not
 /// missed.
-async fn follow(
+async fn list_and_watch(
     kv: &kv::Client,
     next: &mut Option<u64>,
     era: &mut Option<u64>,
-    out: &mpsc::Sender<Message>,
+    tx: &mpsc::Sender<Message>,
 ) -> Result<(), Error> {
     let start = match *next {
         Some(revision) => revision,
@@ -59,12 +60,12 @@
             let current = kv.list(keys::SITE_PREFIX).await?;
             let now = kv.era();
             if era.replace(now).is_some_and(|before| before < now) {
-                let _ = out.send(Message::Restored { era: now }).await;
+                let _ = tx.send(Message::Restored { era: now }).await;
             }
-            // Before the bundle, so that a proxy that starts watches only what is its to watch.
+            // Sent before the bundle, so that a starting proxy does not begin to watch every group.
             let members = current.iter().filter_map(|kv| member(&kv.key)).collect();
-            let _ = out.send(Message::Members(members)).await;
-            send(&current, out).await;
+            let _ = tx.send(Message::Members(members)).await;
+            send(&current, tx).await;
             current
                 .iter()
                 .map(|kv| kv.mod_revision + 1)
@@ -79,9 +80,9 @@
         for event in events {
             let present = event.kind == EventType::Put;
             if let Some(member) = member(&event.kv.key) {
-                let _ = out.send(Message::Member { member, present }).await;
+                let _ = tx.send(Message::Member { member, present }).await;
             } else if present {
-                send(&[event.kv], out).await;
+                send(&[event.kv], tx).await;
             }
         }
         *next = (*next).max(seen);
@@ -89,7 +90,7 @@
     Ok(())
 }
 
-/// The proxy a heartbeat record's key names.
+/// Returns the proxy that the key of a heartbeat record names, `None` for other keys.
 fn member(key: &str) -> Option<Member> {
     let (dc, id) = keys::proxy_parts(key)?;
     Some(Member {
@@ -98,20 +99,19 @@
     })
 }
 
-async fn send(values: &[KeyValue], out: &mpsc::Sender<Message>) {
+async fn send(values: &[KeyValue], tx: &mpsc::Sender<Message>) {
     for message in values.iter().filter_map(message) {
-        let _ = out.send(message).await;
+        let _ = tx.send(message).await;
     }
 }
 
-/// What a key says; a value that cannot be read is said so in the log.
+/// Parses a bundle or primary record; logs a value that cannot be parsed.
 fn message(kv: &KeyValue) -> Option<Message> {
-    let ignored =
-        |error: &Error| log::error!(target: "control", "Ignored {} in the KV: {error}.", kv.key);
+    let log_ignored = |error: &Error| log::error!(target: "control", "Ignored the invalid value of key {} in the KV: {error}.", kv.key);
     if let Some(group) = kv.key.strip_prefix(keys::PRIMARY_PREFIX) {
         let group = group.to_owned();
-        let read = Record::parse(&kv.value).inspect_err(ignored);
-        return Some(match read {
+        let parsed = Record::parse(&kv.value).inspect_err(log_ignored);
+        return Some(match parsed {
             Ok(record) => Message::Record {
                 group,
                 stored: StoredRecord {
@@ -121,12 +121,12 @@
                     lost_in_restore: false,
                 },
             },
-            Err(_) => Message::Unreadable { group },
+            Err(_) => Message::UnreadableRecord { group },
         });
     }
     if kv.key != keys::BUNDLE {
         return None;
     }
     let bundle = Bundle::parse(&String::from_utf8_lossy(&kv.value));
-    bundle.inspect_err(ignored).ok().map(Message::Bundle)
+    bundle.inspect_err(log_ignored).ok().map(Message::Bundle)
 }
--- a/crates/proxy/src/control/probe.rs
+++ b/crates/proxy/src/control/probe.rs
@@ -1,7 +1,7 @@
-//! One task per backend server that reads its status over and over.
+//! One task per backend server that polls its status.
 //!
-//! Each server has a task of its own, so that one that is frozen or cut off delays nobody
-//! else's status.
+//! Each server has its own task, so that a frozen or partitioned server does not delay the status
+//! of the others.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     view::Status,
 };
 
-/// A running probe; it ends when this is dropped.
+/// A running probe, which stops when this value is dropped.
 #[derive(Debug)]
 pub struct Probe {
     task: JoinHandle<()>,
@@ -26,12 +26,12 @@
 }
 
 impl Probe {
-    /// Starts reading the status of the server at `address`.
+    /// Starts polling the status of the server at `address`.
     pub fn start(
         address: SocketAddr,
         database: &str,
         config: &Config,
-        out: mpsc::Sender<Message>,
+        tx: mpsc::Sender<Message>,
     ) -> Self {
         let wake = Arc::new(Notify::new());
         let options = backend::options(address, database, config);
@@ -40,12 +40,12 @@
             settings: config.backend.clone(),
             client: None,
         };
-        let task = tokio::spawn(run(address, reader, wake.clone(), out));
+        let task = tokio::spawn(run(address, reader, wake.clone(), tx));
         Self { task, wake }
     }
 
-    /// Reads the status now instead of at the next period.
-    pub fn hurry(&self) {
+    /// Reads the status without waiting for the next period.
+    pub fn read_now(&self) {
         self.wake.notify_one();
     }
 }
@@ -63,11 +63,10 @@
 }
 
 impl Reader {
-    /// The status, or `None` when the server did not give it in time.
+    /// Reads the status; returns `None` if the server does not answer within the timeout.
     ///
-    /// Failure: the connection has gone silent for good, and its server would count as gone
-    /// though new connections work. Guard: a read that fails drops the connection, and the
-    /// next one opens another.
+    /// A failed read closes the connection and the next read opens a new one, so a connection that
+    /// the network dropped silently does not make its server look unreachable.
     async fn read(&mut self) -> Option<Status> {
         let limit = self.settings.status_timeout;
         let client = match self.client.take().filter(|client| !client.is_closed()) {
@@ -84,12 +83,12 @@
     address: SocketAddr,
     mut reader: Reader,
     wake: Arc<Notify>,
-    out: mpsc::Sender<Message>,
+    tx: mpsc::Sender<Message>,
 ) {
     let period: Duration = reader.settings.status_every;
     loop {
         let status = reader.read().await;
-        if out.send(Message::Status { address, status }).await.is_err() {
+        if tx.send(Message::Status { address, status }).await.is_err() {
             return;
         }
         tokio::select! {
