--- a/crates/proxy/src/control/assignment.rs
+++ b/crates/proxy/src/control/assignment.rs
@@ -1,9 +1,10 @@
-//! Which proxies watch which group: read its servers' status and replace its primary.
+//! The assignment of groups to the proxies that watch them. A watcher polls the status of the
+//! group's servers and replaces a failed primary.
 //!
-//! If every proxy read every server's status, the cost would grow with proxies times servers
-//! (`docs/CAPACITY.md`). So each group has a few watchers, picked by rendezvous hashing over
-//! the live proxies: everyone who knows the same proxies picks the same ones, and a proxy
-//! that comes or goes moves only its own groups.
+//! If every proxy polled every server, the load would grow with proxies times servers
+//! (`docs/CAPACITY.md`). Each group therefore has a few watchers, chosen by rendezvous hashing
+//! over the live proxies: proxies with the same member list choose the same watchers, and a proxy
+//! that joins or leaves moves only its own groups.
 
 use std::{
     cmp::Reverse,
@@ -14,11 +15,11 @@
 
 use super::{backoff, heartbeat};
 
-/// How many proxies watch each group; with one dead and one cut off, one is left.
+/// Leaves one watcher if one proxy has failed and another is partitioned.
 pub const WATCHERS_PER_GROUP: usize = 3;
 
-/// How long a proxy that a list lacks still counts: by then every live one has renewed its lease,
-/// and a failed try and its repetition fit in.
+/// How long a proxy that is missing from a full list still counts. Long enough for every live proxy
+/// to renew its lease, including a failed renewal and its retry.
 pub const MISSING_TIMEOUT: Duration =
     Duration::from_secs(2 * heartbeat::RENEW_INTERVAL.as_secs() + 2);
 
@@ -29,8 +30,7 @@
     pub id: String,
 }
 
-/// A proxy with its part of the hash, computed once: a change of the roster ranks every proxy
-/// for every group again.
+/// A proxy with its precomputed hash: each change of the roster ranks every proxy for every group.
 #[derive(Clone, Debug)]
 struct Entry {
     member: Member,
@@ -42,39 +42,39 @@
 pub struct Roster {
     dcs: Map<String, Vec<Entry>>,
     count: usize,
-    /// Proxies that the last list lacked, and until when they count all the same.
+    /// Proxies missing from the last full list, with the time until which they still count.
     missing: Map<Member, Instant>,
 }
 
 impl Roster {
-    /// How many proxies there are.
+    /// The number of proxies, including missing ones that still count.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there is no proxy.
+    /// Whether there are no proxies.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Takes a complete list, as read at `now`. Proxies that it lacks go on counting for
+    /// Applies a complete list read at `now`. Proxies missing from it still count for
     /// [`MISSING_TIMEOUT`].
     ///
-    /// Failure: the KV was away for longer than its leases last; the first list after its return
-    /// holds the proxies that have renewed by then, and those few would watch every group. Guard:
-    /// only a lease that runs out while the KV answers, or a list much later, removes a proxy.
+    /// If a KV outage outlasts the leases, the first list after it has only the proxies that have
+    /// renewed since, and those few would watch every group. A proxy is therefore removed only when
+    /// its lease expires while the KV is available, or when it stays missing for the timeout.
     pub fn replace(&mut self, members: Vec<Member>, now: Instant) {
         let listed: Set<&Member> = members.iter().collect();
         let known = self.dcs.values().flatten().map(|entry| &entry.member);
-        let lacked = known.filter(|known| !listed.contains(known)).cloned();
-        let lacked: Vec<Member> = lacked.collect();
-        for member in lacked {
+        let absent = known.filter(|known| !listed.contains(known)).cloned();
+        let absent: Vec<Member> = absent.collect();
+        for member in absent {
             self.missing.entry(member).or_insert(now + MISSING_TIMEOUT);
         }
         members.into_iter().for_each(|member| self.add(member));
     }
 
-    /// Drops the proxies that stayed missing; returns whether there were any.
+    /// Removes the proxies whose missing timeout has passed; returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let gone = self.missing.iter().filter(|(_, until)| now >= **until);
         let gone: Vec<Member> = gone.map(|(member, _)| member.clone()).collect();
@@ -82,7 +82,7 @@
         !gone.is_empty()
     }
 
-    /// Adds a proxy; one that is there already changes nothing.
+    /// Adds a proxy. Does nothing but clear its missing timeout if it is present.
     pub fn add(&mut self, member: Member) {
         self.missing.remove(&member);
         let dc = self.dcs.entry(member.dc.clone()).or_default();
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Removes a proxy; one that is not there changes nothing.
+    /// Removes a proxy, if present.
     pub fn remove(&mut self, member: &Member) {
         self.missing.remove(member);
         if let Some(dc) = self.dcs.get_mut(&member.dc) {
@@ -103,8 +103,8 @@
         }
     }
 
-    /// The watchers of `group`: first the best of each data centre, so that the loss of one
-    /// leaves the others, then the second best, and so on.
+    /// The watchers of `group`: first the highest ranked proxy of each data centre, so that the loss
+    /// of a data centre leaves watchers in others, then the second ranked ones, and so on.
     pub fn watchers(&self, group: &str) -> Vec<&Member> {
         let seed = backoff::salt(&group);
         let best = self.dcs.values().map(|dc| best(dc, seed));
@@ -126,7 +126,7 @@
     }
 }
 
-/// The highest weighted proxies of one data centre, at most as many as there are watchers.
+/// The proxies of one data centre with the highest weights, at most [`WATCHERS_PER_GROUP`].
 fn best(dc: &[Entry], seed: u64) -> Vec<(u64, &Entry)> {
     let mut best: Vec<(u64, &Entry)> = Vec::with_capacity(WATCHERS_PER_GROUP + 1);
     for entry in dc {
@@ -134,8 +134,8 @@
         if best.len() == WATCHERS_PER_GROUP && best[WATCHERS_PER_GROUP - 1].0 >= weight {
             continue;
         }
-        let place = best.partition_point(|(higher, _)| *higher >= weight);
-        best.insert(place, (weight, entry));
+        let index = best.partition_point(|(higher, _)| *higher >= weight);
+        best.insert(index, (weight, entry));
         best.truncate(WATCHERS_PER_GROUP);
     }
     best
--- a/crates/proxy/src/control/decision.rs
+++ b/crates/proxy/src/control/decision.rs
@@ -1,4 +1,4 @@
-//! Whether a group's primary has to be replaced, judged from what this proxy sees.
+//! Decides from the statuses that this proxy has read whether a group's primary must be replaced.
 
 use std::{
     net::SocketAddr,
@@ -7,46 +7,47 @@
 
 use crate::view::{Group, Role};
 
-/// What the statuses of a group's servers say about its primary.
+/// The result of evaluating a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// There is a primary, and it is not known to have failed.
+    /// The group has a primary that is not known to have failed.
     Healthy,
-    /// There is no primary in sight, but too few replicas miss it, or another proxy is at it.
+    /// No primary is reachable, but too few replicas confirm its failure; or another proxy has
+    /// claimed a term and may be promoting a server.
     Undecided,
-    /// Enough replicas have missed their primary.
+    /// A quorum of replicas has not heard from the primary for the failover timeout.
     Failed,
-    /// A primary leads, but it is about to be stopped, and enough others can replace it.
+    /// The primary is about to be stopped, and enough other servers can replace it.
     Leaving,
-    /// A primary leads, but a later term was claimed, or a server holds one and takes nothing
-    /// from it: a failover stopped halfway.
+    /// A failover stopped halfway: a later term than the primary's is claimed in the record, or
+    /// held by a server, which then accepts nothing from the primary.
     StaleTerm,
-    /// A primary leads, but the KV has no record of it, or still says that its term is only
-    /// claimed, or has an earlier one.
+    /// There is a primary, but the key-value store (KV) has no record of the group, or one of an
+    /// earlier term, or a claim of this term without a server.
     Unrecorded { term: u64, server: SocketAddr },
 }
 
-/// What a judgement goes by, besides the statuses.
+/// The quorum and timeouts of an evaluation.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How many servers a new term needs.
+    /// How many servers must accept a new term.
     pub quorum: usize,
-    /// How long those must have missed their primary.
+    /// How long a quorum of replicas must not have heard from the primary.
     pub after: Duration,
-    /// How long a new primary is given before anybody's silence counts against it.
+    /// How long after a promotion the replicas' silence is ignored.
     pub grace: Duration,
 }
 
-/// Judges `group`, led by the same server since `led_since`.
+/// Evaluates `group`, whose current primary was first seen at `led_since`.
 ///
-/// Failure: a proxy that is itself cut off from a sound primary would replace it. Guard: a
-/// primary counts as failed only when a quorum of servers say they have not heard from it
-/// for `after`; they would then also fence it off, so replacing it takes nothing away.
-/// A primary that answers us but reaches no replica has failed too: it can commit nothing.
+/// A primary counts as failed only if a quorum of replicas report that they have not heard from it
+/// for `after`, so a proxy that is itself partitioned from a healthy primary does not replace it.
+/// A primary that this proxy reaches but a quorum of replicas does not has failed as well: it
+/// cannot commit.
 ///
-/// Failure: right after a promotion the last statuses still tell of the old primary's silence,
-/// and the new one would be replaced in turn. Guard: for `grace` after it was recorded or
-/// first seen, silence is not held against it.
+/// Statuses read before a promotion still report the silence of the old primary. They are ignored
+/// for `grace` after the new primary was recorded or first seen, so that it is not replaced in
+/// turn.
 pub fn evaluate(
     group: &Group,
     led_since: Option<Instant>,
@@ -57,13 +58,13 @@
         return Decision::Undecided;
     }
     let recorded_at = group.stored.as_ref().map(|stored| stored.seen_at);
-    let newest = recorded_at.max(led_since);
-    let settled = newest.is_none_or(|since| now.duration_since(since) >= limits.grace);
-    let missing = group
+    let leading_since = recorded_at.max(led_since);
+    let past_grace = leading_since.is_none_or(|since| now.duration_since(since) >= limits.grace);
+    let silent_replicas = group
         .fresh_statuses(now)
         .filter(|(_, status)| status.role == Role::Replica && status.silence >= limits.after)
         .count();
-    if missing >= limits.quorum && settled {
+    if silent_replicas >= limits.quorum && past_grace {
         return Decision::Failed;
     }
     match group
@@ -73,30 +74,32 @@
         None => Decision::Undecided,
         Some((index, led)) => match group.fresh_statuses(now).any(|(_, s)| s.term > led.term) {
             true => Decision::StaleTerm,
-            false if group.servers[index].leaving && stay(group, now) >= limits.quorum => {
+            false
+                if group.servers[index].leaving
+                    && staying_replicas(group, now) >= limits.quorum =>
+            {
                 Decision::Leaving
             }
-            false => recorded(group, led.term, group.servers[index].address),
+            false => compare_record(group, led.term, group.servers[index].address),
         },
     }
 }
 
-/// How many replicas are in sight and not leaving themselves.
-fn stay(group: &Group, now: Instant) -> usize {
+/// The number of replicas with a fresh status that are not leaving.
+fn staying_replicas(group: &Group, now: Instant) -> usize {
     group
         .fresh_statuses(now)
         .filter(|(index, status)| status.role == Role::Replica && !group.servers[*index].leaving)
         .count()
 }
 
-/// What the record has to say of a primary that leads at `term`.
+/// Compares the group's record with its primary `server` at `term`.
 ///
-/// Failure: a claimant is paused before a server has heard of its term. Its claim lapses, the
-/// record goes back to the primary's lower term, and the next claimant gets the same term again:
-/// when the first one goes on, two primaries lead at it and overwrite each other's commits.
-/// Guard: the record never goes back; a later term is taken, which the servers then hold against
-/// the paused claimant.
-fn recorded(group: &Group, term: u64, server: SocketAddr) -> Decision {
+/// A claimant can be paused before any server has accepted its term. If its expired claim were
+/// replaced by the primary's lower term, the next claimant would get the same term, and two
+/// primaries with that term could overwrite each other's commits. The record's term therefore
+/// never decreases: a later term is claimed, at which the servers refuse the paused claimant.
+fn compare_record(group: &Group, term: u64, server: SocketAddr) -> Decision {
     let record = group.stored.as_ref().map(|stored| &stored.record);
     match record {
         Some(record) if record.server.is_none() && record.term > term => Decision::StaleTerm,
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -1,9 +1,9 @@
-//! The failover role: decides when to replace a primary, and replaces it.
+//! Failover: decides when to replace a primary, and replaces it.
 //!
-//! One attempt claims the next term in the platform KV by compare-and-swap, makes a quorum of
-//! servers hold that term, promotes the most advanced of them, and writes down which it was.
-//! There is no lease to lapse: a claimant that was paused finds its servers hold a later term
-//! and refuse it (`docs/DESIGN.md`, "Failover").
+//! An attempt claims the next term in the key-value store (KV) by compare-and-swap, fences a
+//! quorum of servers at that term, promotes the most advanced of them, and records the new
+//! primary. No lease is needed: a claimant that was paused is refused by servers that have
+//! accepted a later term (`docs/DESIGN.md`, "Failover").
 
 use std::{
     net::SocketAddr,
@@ -30,24 +30,24 @@
 };
 use crate::{backend, config::Config, view};
 
-/// Why an attempt did not replace the primary.
+/// Why a failover attempt failed.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
     /// Another proxy changed the group's record first.
-    #[display("another proxy was first")]
-    Moved,
-    /// The platform KV failed.
+    #[display("another proxy changed the primary record first")]
+    Conflict,
+    /// The KV failed.
     Kv(dandelionpitch_core::Error),
-    /// Fewer servers than the quorum hold the new term.
-    #[display("only {held} of {quorum} servers hold term {term}")]
+    /// Fewer servers than the quorum accepted the new term.
+    #[display("only {held} of {quorum} required servers accepted term {term}")]
     #[from(ignore)]
     Quorum {
         held: usize,
         quorum: usize,
         term: u64,
     },
-    /// The chosen server did not take the lead.
-    #[display("{server} refused to lead: {source}")]
+    /// The candidate could not be promoted.
+    #[display("could not promote {server}: {source}")]
     #[from(ignore)]
     Promote {
         server: SocketAddr,
@@ -55,59 +55,62 @@
     },
 }
 
-/// What an attempt is to do.
+/// The task of an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Task {
+    /// Promotes a server, not counting the fenced `suspect` towards the quorum.
     Replace { suspect: Option<SocketAddr> },
+    /// Only writes the record of the current primary.
     Record { term: u64, server: SocketAddr },
 }
 
-/// What an attempt achieved.
+/// The result of a successful attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     pub term: u64,
     pub server: SocketAddr,
-    /// Whether a server was promoted, or only the record put right.
+    /// Whether a server was promoted; otherwise only the record was written.
     pub promoted: bool,
 }
 
-/// One attempt on one group, ready to run beside the control loop.
+/// One failover attempt on one group, to be run in a task of its own.
 #[derive(Debug)]
 pub struct Attempt {
     task: Task,
     group: String,
     servers: Vec<SocketAddr>,
-    /// Those of the servers that are about to stop or were taken out.
+    /// The servers that are about to stop or were removed from the bundle.
     leaving: Vec<SocketAddr>,
-    /// The history that each server was last seen in.
+    /// The last seen log of each server.
     histories: Map<SocketAddr, History>,
-    /// The servers that count, listed or not; the record keeps them for the next claimant.
+    /// The servers that count for the quorum, listed or not; stored in the record for the next
+    /// claimant.
     members: Vec<SocketAddr>,
     quorum: usize,
-    /// The highest term seen in the record or on a server.
-    top_term: u64,
-    /// The revision of the record the attempt goes out from; zero when there is none.
+    /// The highest term in the record or on any server.
+    highest_term: u64,
+    /// The expected revision of the record; zero if there is none.
     revision: u64,
     config: Config,
     kv: kv::Client,
 }
 
-/// The pause after a first failed attempt, and the longest one.
-const RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// The first and the longest delay between failed attempts.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
-/// What is remembered of one group.
+/// The failover state of one group.
 #[derive(Debug)]
 struct Monitor {
     decision: Decision,
-    /// Since when the verdict has been the same.
+    /// When the decision last changed, or the last attempt finished.
     since: Instant,
     backoff: Backoff,
-    /// No attempt is made before this.
+    /// The earliest time of the next attempt.
     not_before: Instant,
     voters: Voters,
 }
 
-/// The monitor of the failover role.
+/// Decides, for all groups, when this proxy starts failover attempts.
 #[derive(Debug)]
 pub struct Coordinator {
     config: Config,
@@ -116,7 +119,7 @@
 }
 
 impl Coordinator {
-    /// A watch that has seen nothing yet.
+    /// Creates a coordinator without any group state.
     pub fn new(config: Config, kv: kv::Client) -> Self {
         Self {
             config,
@@ -125,44 +128,45 @@
         }
     }
 
-    /// Judges one group, last seen led by `led_by`; returns an attempt when it is time for
-    /// this proxy to make one.
+    /// Evaluates one group, whose last known primary is `last_leader`; returns an attempt if one
+    /// is due.
     pub fn next_attempt(
         &mut self,
         group: &bundle::Group,
         view: &view::Group,
-        led_by: Option<Leader>,
+        last_leader: Option<Leader>,
         now: Instant,
     ) -> Option<Attempt> {
         let monitor = self.monitor_mut(&group.name, now);
         monitor.voters.update(view, now);
         let quorum = monitor.voters.quorum(group.sync_replicas)?;
         let outdated = monitor.voters.outdated_record(view);
-        let missing = monitor.voters.record_lacks_voter(view);
+        let unrecorded_voter = monitor.voters.record_lacks_voter(view);
         let after = self.config.failover.after;
         let limits = Limits {
             quorum,
             after,
             grace: after + 2 * self.config.backend.status_every,
         };
-        let decision = decision::evaluate(view, led_by.map(|leader| leader.since), limits, now);
+        let decision =
+            decision::evaluate(view, last_leader.map(|leader| leader.since), limits, now);
         let decision = match (decision, outdated) {
             (Decision::Healthy, Some((term, server))) => Decision::Unrecorded { term, server },
             _ => decision,
         };
-        let wait = self.wait(&group.name, decision, missing);
+        let delay = self.delay(&group.name, decision, unrecorded_voter);
         let monitor = self.monitor_mut(&group.name, now);
         if monitor.decision != decision {
             monitor.decision = decision;
             monitor.since = now;
         }
-        if now < monitor.since + wait || now < monitor.not_before {
+        if now < monitor.since + delay || now < monitor.not_before {
             return None;
         }
         let task = match decision {
             Decision::Healthy | Decision::Undecided => return None,
             Decision::Failed | Decision::Leaving => Task::Replace {
-                suspect: led_by.map(|leader| leader.server),
+                suspect: last_leader.map(|leader| leader.server),
             },
             Decision::StaleTerm => Task::Replace { suspect: None },
             Decision::Unrecorded { term, server } => Task::Record { term, server },
@@ -171,7 +175,7 @@
         Some(self.attempt(task, group, view, voters, quorum, now))
     }
 
-    /// Notes how an attempt on `group` ended, which says when the next one may be made.
+    /// Records the result of an attempt on `group`, which determines when the next one may start.
     pub fn note_attempt(&mut self, group: &str, success: bool, now: Instant) {
         let monitor = self.monitor_mut(group, now);
         monitor.since = now;
@@ -188,25 +192,25 @@
             .or_insert_with(|| Monitor {
                 decision: Decision::Healthy,
                 since: now,
-                backoff: Backoff::new(RETRY.0, RETRY.1, salt),
+                backoff: Backoff::new(RETRY_BACKOFF.0, RETRY_BACKOFF.1, salt),
                 not_before: now,
                 voters: Voters::new(now),
             })
     }
 
-    /// How long a verdict must hold before this proxy acts on it; the share of the spread is
-    /// its own and the same each time.
+    /// How long a decision must be stable before this proxy acts on it. The jitter is constant per
+    /// proxy and group.
     ///
-    /// A record in which a server that counts is `missing` is written at once: until then a proxy
-    /// that starts cannot know of that server once it is taken out of the list.
-    fn wait(&self, group: &str, decision: Decision, missing: bool) -> Duration {
+    /// A record that lacks a voter is written without delay: until then, a proxy that starts after
+    /// the voter is removed from the bundle does not know of it.
+    fn delay(&self, group: &str, decision: Decision, unrecorded_voter: bool) -> Duration {
         let share = backoff::share(&(&self.config.id, group));
         let spread = self.config.failover.spread.mul_f64(share);
         match decision {
             Decision::Healthy | Decision::Undecided | Decision::Failed | Decision::Leaving => {
                 spread
             }
-            Decision::Unrecorded { .. } if missing => Duration::ZERO,
+            Decision::Unrecorded { .. } if unrecorded_voter => Duration::ZERO,
             Decision::StaleTerm | Decision::Unrecorded { .. } => {
                 self.config.failover.claim_limit + spread
             }
@@ -222,7 +226,7 @@
         quorum: usize,
         now: Instant,
     ) -> Attempt {
-        let on_servers = view
+        let max_on_servers = view
             .fresh_statuses(now)
             .map(|(_, status)| status.term)
             .max();
@@ -236,7 +240,7 @@
             histories: voters.histories().clone(),
             members: voters.addresses(),
             quorum,
-            top_term: on_servers.max(in_record).unwrap_or_default(),
+            highest_term: max_on_servers.max(in_record).unwrap_or_default(),
             revision: view.stored.as_ref().map_or(0, |stored| stored.revision),
             config: self.config.clone(),
             kv: self.kv.clone(),
@@ -244,7 +248,7 @@
     }
 }
 
-/// A server that holds the new term.
+/// A server that accepted the new term and refuses earlier ones.
 struct Fenced {
     server: SocketAddr,
     client: Client,
@@ -253,12 +257,12 @@
 }
 
 impl Attempt {
-    /// The group this attempt is for.
+    /// The name of the group.
     pub fn group(&self) -> &str {
         &self.group
     }
 
-    /// Runs the attempt to its end.
+    /// Runs the attempt to completion.
     pub async fn run(self) -> Result<Outcome, Error> {
         match self.task {
             Task::Replace { suspect } => self.replace(suspect).await,
@@ -275,14 +279,14 @@
     }
 
     async fn replace(&self, suspect: Option<SocketAddr>) -> Result<Outcome, Error> {
-        let term = self.top_term + 1;
+        let term = self.highest_term + 1;
         let claim = self.write(self.record(term, None), self.revision).await?;
         log::info!(target: "failover", "Claimed term {term} of group {}.", self.group);
         let fenced = self.fence(term, suspect).await?;
         let server = self.promote(term, fenced).await?;
         let recorded = self.write(self.record(term, Some(server)), claim).await;
         if let Err(error) = recorded {
-            log::warn!(target: "failover", "Term {term} of {} is not recorded: {error}.", self.group);
+            log::warn!(target: "failover", "Could not record the new primary of group {} at term {term}: {error}.", self.group);
         }
         Ok(Outcome {
             term,
@@ -302,14 +306,14 @@
 
     /// Replaces the group's record if it is still at `revision`; returns the new revision.
     ///
-    /// Failure: the KV applies the write and loses the answer; taken for a failure, the claim
-    /// would stand unused, taken for a success, two proxies might hold one term. Guard: the
-    /// record is read back, and only one equal to ours, which names this proxy, is a success.
+    /// If the KV returns an error, the write may have been applied. The record is then read back,
+    /// and the write counts as successful only if the record equals ours, which names this proxy
+    /// as the claimant: two proxies never own the same term.
     async fn write(&self, record: Record, revision: u64) -> Result<u64, Error> {
         let key = keys::primary(&self.group);
         let failure = match self.kv.swap(&key, &record.to_value(), revision).await {
             Ok(Swap::Done { revision }) => return Ok(revision),
-            Ok(Swap::Moved) => return Err(Error::Moved),
+            Ok(Swap::Moved) => return Err(Error::Conflict),
             Err(error) => error,
         };
         match self.kv.get(&key).await? {
@@ -318,27 +322,28 @@
         }
     }
 
-    /// Makes the servers hold `term`; returns as soon as a quorum of those that may lead do.
+    /// Fences all servers at `term`; returns as soon as a quorum, not counting the suspect, has
+    /// accepted it.
     ///
-    /// The suspect is told too, so that it steps down if it hears us, but is not counted: it
-    /// may hold the longest log and yet reach no replica.
+    /// The suspect is fenced so that it steps down if it is reachable. It is not a candidate: it
+    /// may have the longest log and yet reach no replica.
     async fn fence(&self, term: u64, suspect: Option<SocketAddr>) -> Result<Vec<Fenced>, Error> {
         let mut calls: FuturesUnordered<_> = self
             .servers
             .iter()
-            .map(|&server| tokio::spawn(fence_one(self.options(server), server, term)))
+            .map(|&server| tokio::spawn(fence_server(self.options(server), server, term)))
             .collect();
         let mut fenced = Vec::new();
         while let Some(answer) = calls.next().await {
-            let Ok(Some(one)) = answer else { continue };
-            if Some(one.server) == suspect {
+            let Ok(Some(reply)) = answer else { continue };
+            if Some(reply.server) == suspect {
                 continue;
             }
-            if self.has_lost_its_log(&one) {
-                log::warn!(target: "failover", "{} has lost its log and does not count.", one.server);
+            if self.has_lost_log(&reply) {
+                log::warn!(target: "failover", "{} has lost its log and does not count for the quorum.", reply.server);
                 continue;
             }
-            fenced.push(one);
+            fenced.push(reply);
             if fenced.len() >= self.quorum {
                 return Ok(fenced);
             }
@@ -350,14 +355,15 @@
         })
     }
 
-    /// Whether a server's log is shorter than it was: it has started again empty.
-    fn has_lost_its_log(&self, fenced: &Fenced) -> bool {
+    /// Whether a server has another log than last seen, or a shorter one.
+    fn has_lost_log(&self, fenced: &Fenced) -> bool {
         let history = self.histories.get(&fenced.server);
         history.is_some_and(|history| !history.is_continued_by(fenced.log_id, fenced.received))
     }
 
-    /// Promotes the most advanced of the fenced servers, of equal ones one that stays. One that was
-    /// taken out may alone have a commit: it leads until another has caught up and replaces it.
+    /// Promotes the most advanced of the fenced servers, preferring one that is not leaving among
+    /// equals. A server removed from the bundle may be the only one with a commit; it is primary
+    /// until another server has caught up and replaces it.
     async fn promote(&self, term: u64, fenced: Vec<Fenced>) -> Result<SocketAddr, Error> {
         let best = fenced
             .into_iter()
@@ -382,7 +388,7 @@
     }
 }
 
-async fn fence_one(
+async fn fence_server(
     (options, limit): (tokio_postgres::Config, Duration),
     server: SocketAddr,
     term: u64,
@@ -396,7 +402,7 @@
             received,
         }),
         Err(error) => {
-            log::warn!(target: "failover", "{server} did not take term {term}: {error}.");
+            log::warn!(target: "failover", "{server} did not accept term {term}: {error}.");
             None
         }
     }
--- a/crates/proxy/src/control/groups.rs
+++ b/crates/proxy/src/control/groups.rs
@@ -1,5 +1,5 @@
-//! The groups of the bundle in force: their servers with pools and probes, who watches them, and the
-//! records that say who leads.
+//! The database groups of the applied bundle: their servers with pools and probes, whether this
+//! proxy watches them, and their primary records.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -16,15 +16,15 @@
 };
 
 impl Control {
-    /// Puts `bundle` in force unless it is not newer.
+    /// Applies `bundle` if its version is higher than the current one.
     ///
-    /// Failure: a watch replay or a late answer offers an older bundle, and applying it would
-    /// revert the configuration. Guard: only a strictly higher version is applied.
+    /// A replayed watch event or a delayed response can contain an older bundle, which must not
+    /// revert the configuration.
     pub(super) fn apply_bundle(&mut self, bundle: Bundle) -> Change {
         let current = self.bundle.as_ref().map_or(0, |bundle| bundle.version);
         if bundle.version <= current {
             if bundle.version < current {
-                log::info!(target: "control", "Kept version {current}; offered {}.", bundle.version);
+                log::info!(target: "control", "Ignored bundle version {}; version {current} is applied.", bundle.version);
             }
             return Change::Unchanged;
         }
@@ -33,7 +33,7 @@
         self.rebuild()
     }
 
-    /// Builds all groups anew from the bundle in force and the records.
+    /// Rebuilds all groups from the applied bundle and the primary records.
     fn rebuild(&mut self) -> Change {
         let Some(bundle) = self.bundle.clone() else {
             return Change::Unchanged;
@@ -42,14 +42,14 @@
         let listed: Set<SocketAddr> = listed.copied().collect();
         let mut old = std::mem::take(&mut self.groups);
         for group in bundle.groups.values() {
-            let kept = old.remove(&group.name);
-            let built = self.build(group, kept.as_ref(), &listed);
+            let previous = old.remove(&group.name);
+            let built = self.build(group, previous.as_ref(), &listed);
             self.groups.insert(group.name.clone(), built);
         }
         self.assign()
     }
 
-    /// Starts to watch the groups that are now this proxy's to watch, and stops the others.
+    /// Starts to watch the groups assigned to this proxy and stops to watch all others.
     pub(super) fn assign(&mut self) -> Change {
         let me = Member {
             dc: self.config.dc.clone(),
@@ -75,22 +75,31 @@
         Change::Routing
     }
 
-    /// The group's servers, with the pools and statuses of those it already had, and those that were
-    /// taken out and count.
-    fn build(&self, group: &bundle::Group, kept: Option<&Group>, taken: &Set<SocketAddr>) -> Group {
+    /// Builds a group. Servers that were in `previous` keep their pools and statuses. Servers of
+    /// `previous` or the record that no group lists are kept as unlisted ones, as they may still
+    /// count for the promotion quorum.
+    fn build(
+        &self,
+        group: &bundle::Group,
+        previous: Option<&Group>,
+        all_listed: &Set<SocketAddr>,
+    ) -> Group {
         let stored = self.records.get(&group.name).cloned();
-        let had = kept.into_iter().flat_map(|kept| &kept.servers);
+        let previous_servers = previous.into_iter().flat_map(|previous| &previous.servers);
         let recorded = stored.iter().flat_map(|stored| &stored.record.members);
-        let known: Vec<SocketAddr> = had.map(|s| s.address).chain(recorded.copied()).collect();
+        let known: Vec<SocketAddr> = previous_servers
+            .map(|s| s.address)
+            .chain(recorded.copied())
+            .collect();
         let mut servers: Vec<Server> = group
             .servers
             .iter()
-            .map(|&address| self.server(address, group, kept, true))
+            .map(|&address| self.server(address, group, previous, true))
             .collect();
         for address in known {
-            let here = servers.iter().any(|server| server.address == address);
-            if !here && !taken.contains(&address) {
-                servers.push(self.server(address, group, kept, false));
+            let is_present = servers.iter().any(|server| server.address == address);
+            if !is_present && !all_listed.contains(&address) {
+                servers.push(self.server(address, group, previous, false));
             }
         }
         Group {
@@ -99,8 +108,10 @@
             claim_limit: self.config.failover.claim_limit,
             stored,
             unreadable: self.unreadable.contains(&group.name),
-            watched: kept.is_some_and(|kept| kept.watched),
-            discovery: kept.map(|kept| kept.discovery.clone()).unwrap_or_default(),
+            watched: previous.is_some_and(|previous| previous.watched),
+            discovery: previous
+                .map(|previous| previous.discovery.clone())
+                .unwrap_or_default(),
         }
     }
 
@@ -108,11 +119,12 @@
         &self,
         address: SocketAddr,
         group: &bundle::Group,
-        kept: Option<&Group>,
+        previous: Option<&Group>,
         listed: bool,
     ) -> Server {
         let leaving = !listed || self.leaving.contains(&address);
-        let old = kept.and_then(|kept| kept.servers.iter().find(|s| s.address == address));
+        let old =
+            previous.and_then(|previous| previous.servers.iter().find(|s| s.address == address));
         if let Some(old) = old.filter(|old| old.pool.status().max_size == group.pool_size) {
             return Server {
                 leaving,
@@ -131,8 +143,8 @@
         }
     }
 
-    /// Takes a primary record from the KV unless it is older than the one held, and looks at
-    /// the group's servers at once.
+    /// Stores a primary record from the KV unless its revision is not newer, and polls the group's
+    /// servers immediately.
     pub(super) fn apply_record(&mut self, group: String, stored: StoredRecord) -> Change {
         let known = self.records.get(&group);
         if known.is_some_and(|known| stored.revision <= known.revision) {
@@ -142,19 +154,19 @@
             Some(known) => known.reconcile(stored),
             None => stored,
         };
-        let mut others = false;
+        let mut changed = false;
         if let Some(group) = self.groups.get_mut(&group) {
             let recorded = &stored.record.members;
-            let here = |address| group.servers.iter().any(|s| s.address == address);
-            others = !recorded.iter().all(|&address| here(address));
+            let is_present = |address| group.servers.iter().any(|s| s.address == address);
+            changed = !recorded.iter().all(|&address| is_present(address));
             let before = group.servers.len();
-            let counts = |s: &Server| s.listed || recorded.contains(&s.address);
-            group.servers.retain(counts);
-            others |= group.servers.len() < before;
+            let is_voter = |s: &Server| s.listed || recorded.contains(&s.address);
+            group.servers.retain(is_voter);
+            changed |= group.servers.len() < before;
             group.stored = Some(stored.clone());
         }
         self.records.insert(group.clone(), stored);
-        if others {
+        if changed {
             self.rebuild();
         }
         self.probe_now(&group);
@@ -162,10 +174,10 @@
         Change::Routing
     }
 
-    /// Notes that the KV came back from a copy: what it does not hold any more is written as if nothing had
-    /// been there.
+    /// Marks all known records as lost after the KV was restored from a backup. A record that the
+    /// backup lacks is then written as a new key.
     pub(super) fn handle_restore(&mut self, era: u64) -> Change {
-        log::warn!(target: "control", "The KV came back from a copy; era {era}.");
+        log::warn!(target: "control", "The KV was restored from a backup; its era is now {era}.");
         for (group, stored) in &mut self.records {
             stored.lost_in_restore = true;
             stored.revision = 0;
@@ -176,7 +188,7 @@
         Change::Routing
     }
 
-    /// Notes that the KV has a record of the group that cannot be read.
+    /// Marks the group's primary record in the KV as unparseable.
     pub(super) fn mark_unreadable(&mut self, group: String) -> Change {
         if let Some(known) = self.groups.get_mut(&group) {
             known.unreadable = true;
--- a/crates/proxy/src/control/voters.rs
+++ b/crates/proxy/src/control/voters.rs
@@ -1,9 +1,11 @@
-//! Which servers of a group count for a promotion, whatever the bundle in force lists.
+//! The servers of a group that count for the promotion quorum, whether the bundle lists them or
+//! not.
 //!
-//! Failure: a server is taken out of a group's list after it alone acknowledged a commit, and the
-//! primary dies; the servers still listed look like the whole group, and the one promoted lacks the
-//! commit. Guard: [`Roster`] counts the server until the others have all that the primary had after
-//! it was taken out, and the group's record keeps the list for other proxies (`docs/DESIGN.md`, "Failover").
+//! A server may be removed from the bundle while it is the only replica with an acknowledged
+//! commit. If the primary then fails, a quorum of the listed servers could promote one without
+//! the commit. [`Roster`] therefore counts the server until the others have everything that the
+//! primary had after the removal, and the group's record names it for other proxies
+//! (`docs/DESIGN.md`, "Failover").
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -17,43 +19,44 @@
 
 use crate::view;
 
-/// The servers of one group that count.
+/// The servers of one group that count for the quorum.
 #[derive(Debug)]
 pub struct Voters {
-    /// The origin of the moments that the roster goes by.
-    started: Instant,
+    /// The origin of the [`Moment`]s passed to the roster.
+    origin: Instant,
     roster: Roster,
-    /// The revision of the record that was taken in last, and the servers that it names.
+    /// The revision of the last applied record.
     revision: u64,
+    /// The servers that the last applied record names.
     recorded: Vec<Incarnation>,
     histories: Map<SocketAddr, History>,
 }
 
-/// What is known of the server behind an address.
+/// The last seen log of the server at an address.
 ///
-/// Failure: a replica that alone has a commit loses its log and comes back empty; held for a promotion it
-/// looks like one of the quorum. Guard: another log, or one that has become shorter within a term, belongs
-/// to another history, and the earlier one still counts.
+/// A replica that alone has a commit may lose its log and restart empty, and must then not count
+/// for the quorum in place of the lost log. A different log, or one that became shorter within a
+/// term, therefore starts a new incarnation, and the earlier incarnation still counts.
 #[derive(Clone, Copy, Debug)]
 pub struct History {
-    /// How many histories are known to have ended before this one.
-    number: u64,
+    /// The number of times that the server is known to have lost its log.
+    incarnation: u64,
     log_id: u64,
     last: Status,
 }
 
 impl History {
-    /// Whether a server that has this log up to `received` is still in this history.
+    /// Whether a server with log `log_id` up to `received` still has everything seen of this log.
     pub fn is_continued_by(&self, log_id: u64, received: Position) -> bool {
         log_id == self.log_id && received >= self.last.received
     }
 }
 
 impl Voters {
-    /// Counts no server yet.
+    /// Creates an empty set.
     pub fn new(now: Instant) -> Self {
         Self {
-            started: now,
+            origin: now,
             roster: Roster::default(),
             revision: 0,
             recorded: Vec::new(),
@@ -61,39 +64,42 @@
         }
     }
 
-    /// Takes in the listed servers as they are seen, and what the record says.
+    /// Updates the set from the listed servers' statuses and the group's record.
     pub fn update(&mut self, group: &view::Group, now: Instant) {
         let at = self.moment(now);
         for server in &group.servers {
             if let Some(status) = server.status.get() {
-                self.note_history(server.address, status);
+                self.update_history(server.address, status);
             }
         }
-        let (listed, taken_out): (Vec<_>, Vec<_>) =
+        let (listed, removed): (Vec<_>, Vec<_>) =
             group.servers.iter().partition(|server| server.listed);
-        // First, since after a pause of this process the others may look as if they covered it.
-        for server in taken_out {
-            if receives(server, group, now) {
-                self.roster.keep(&self.id(server.address), at);
+        // Before the roster update: after a pause of this process, the other servers may look as
+        // if they had everything that a removed server still in use has.
+        for server in removed {
+            if hears_from_primary(server, group, now) {
+                self.roster.keep(&self.incarnation_of(server.address), at);
             }
         }
         let member = |server: &view::Server| self.member(server, group, now);
         let members: Vec<Member> = listed.into_iter().map(member).collect();
         self.roster.update(&members, at);
         if let Some(stored) = &group.stored {
-            self.take(stored, at);
+            self.apply_record(stored, at);
         }
     }
 
-    /// Takes in a newer record. A server that the one before names and this one does not is covered:
-    /// whoever writes a record has taken in the one that it replaces. A KV that came back from a copy may
-    /// show an older one.
-    fn take(&mut self, stored: &view::StoredRecord, at: Moment) {
+    /// Applies a newer record. A server that only the previous record names need not be counted any
+    /// more: each record is written by a proxy that has applied the one it replaces. This does not
+    /// hold across a restore of the KV from a backup, which can bring back an older record.
+    fn apply_record(&mut self, stored: &view::StoredRecord, at: Moment) {
         if stored.revision <= self.revision {
             return;
         }
         let members = stored.record.members.iter();
-        let recorded: Vec<_> = members.map(|&address| self.id(address)).collect();
+        let recorded: Vec<_> = members
+            .map(|&address| self.incarnation_of(address))
+            .collect();
         let mut covered = std::mem::replace(&mut self.recorded, recorded);
         covered.retain(|id| !self.recorded.contains(id));
         let replaces = era::of(stored.revision) == era::of(self.revision);
@@ -104,12 +110,12 @@
         self.roster.merge(&self.recorded, at);
     }
 
-    /// How many servers must hold a new term before a primary of that term may be promoted.
+    /// How many servers must accept a new term before one of them may be promoted at it.
     ///
-    /// An acknowledged commit is on the primary and on `sync_replicas` others. Any set of
-    /// this many servers shares a member with that set, so the most advanced of them has the
-    /// commit; and those left over are too few for the old primary to have another one
-    /// acknowledged. `None` when nothing can be promised (`docs/DESIGN.md`, "Failover").
+    /// An acknowledged commit is on the primary and on `sync_replicas` others. Any set of this many
+    /// servers intersects that set, so its most advanced member has the commit; and the remaining
+    /// servers are too few for the old primary to have another commit acknowledged. `None` if no
+    /// safe quorum exists (`docs/DESIGN.md`, "Failover").
     pub fn quorum(&self, sync_replicas: usize) -> Option<usize> {
         match sync_replicas {
             0 => None,
@@ -117,17 +123,18 @@
         }
     }
 
-    /// The term and server of the record, if it is to be written again with the servers that count:
-    /// it lacks one, or keeps one that counts no longer.
+    /// The term and server of the group's record, if the record must be rewritten because it lacks a
+    /// voter or names a server that no longer counts.
     pub fn outdated_record(&self, group: &view::Group) -> Option<(u64, SocketAddr)> {
         let record = &group.stored.as_ref()?.record;
         let voters = self.addresses();
-        let keeps = !record.members.iter().all(|one| voters.contains(one));
-        Some((record.term, record.server?)).filter(|_| keeps || self.record_lacks_voter(group))
+        let names_non_voter = !record.members.iter().all(|member| voters.contains(member));
+        Some((record.term, record.server?))
+            .filter(|_| names_non_voter || self.record_lacks_voter(group))
     }
 
-    /// Whether the record lacks a server that counts. Until it is written, a proxy that starts after
-    /// this server was taken out does not know of it.
+    /// Whether the record lacks a voter. Until it is rewritten, a proxy that starts after that voter
+    /// was removed from the bundle does not know of it.
     pub fn record_lacks_voter(&self, group: &view::Group) -> bool {
         let Some(stored) = group
             .stored
@@ -140,79 +147,79 @@
         !self.addresses().iter().all(recorded)
     }
 
-    /// All servers that count.
+    /// The addresses of all servers that count.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let ids = self.roster.ids();
         let addresses = ids.iter().filter_map(|id| id.id.parse().ok());
         let mut addresses: Vec<SocketAddr> = addresses.collect();
-        // Two histories of one server stand side by side.
+        // The incarnations of a server are adjacent.
         addresses.dedup();
         addresses
     }
 
-    /// The history that each server was last seen in.
+    /// The last seen log of each server.
     pub fn histories(&self) -> &Map<SocketAddr, History> {
         &self.histories
     }
 
-    fn note_history(&mut self, address: SocketAddr, status: view::Status) {
-        let (log_id, last) = (status.log_id, read(status));
+    fn update_history(&mut self, address: SocketAddr, status: view::Status) {
+        let (log_id, last) = (status.log_id, to_engine(status));
         let first = History {
-            number: 0,
+            incarnation: 0,
             log_id,
             last,
         };
         let history = self.histories.entry(address).or_insert(first);
         if log_id != history.log_id || takeover::has_restarted(&history.last, &last) {
-            history.number += 1;
-            log::warn!(target: "control", "Server {address} has lost its log: it ends at {}, after {}.",
+            history.incarnation += 1;
+            log::warn!(target: "control", "Server {address} has lost its log: it ends at {}, previously at {}.",
                 last.received, history.last.received);
         }
         (history.log_id, history.last) = (log_id, last);
     }
 
-    /// A server as the roster names it, by its address and history.
-    fn id(&self, address: SocketAddr) -> Incarnation {
+    /// The server's current incarnation, by which the roster identifies it.
+    fn incarnation_of(&self, address: SocketAddr) -> Incarnation {
         Incarnation {
             id: address.to_string(),
             born: self
                 .histories
                 .get(&address)
-                .map_or(0, |history| history.number),
+                .map_or(0, |history| history.incarnation),
         }
     }
 
     fn member(&self, server: &view::Server, group: &view::Group, now: Instant) -> Member {
         let status = server.fresh_status(now, group.status_ttl);
         Member {
-            id: self.id(server.address),
+            id: self.incarnation_of(server.address),
             leaving: server.leaving,
-            sight: status.map_or(Sight::Unknown, |status| Sight::Answered(read(status))),
+            sight: status.map_or(Sight::Unknown, |status| Sight::Answered(to_engine(status))),
             asked: status.map_or(Moment::default(), |status| self.moment(status.read_at)),
         }
     }
 
     fn moment(&self, at: Instant) -> Moment {
-        Moment::from_boot(at.saturating_duration_since(self.started))
+        Moment::from_boot(at.saturating_duration_since(self.origin))
     }
 }
 
-/// Whether a server is sent the group's commits, or leads it.
-fn receives(server: &view::Server, group: &view::Group, now: Instant) -> bool {
+/// Whether a server is the primary or has recently heard from it.
+fn hears_from_primary(server: &view::Server, group: &view::Group, now: Instant) -> bool {
     let status = server.fresh_status(now, group.status_ttl);
     status.is_some_and(|status| status.silence < group.status_ttl)
 }
 
-fn read(status: view::Status) -> Status {
+fn to_engine(status: view::Status) -> Status {
     Status {
-        role: role(status.role),
+        role: engine_role(status.role),
         term: status.term,
         received: status.position,
         held: 0,
     }
 }
 
-fn role(role: view::Role) -> Role {
+fn engine_role(role: view::Role) -> Role {
     match role {
         view::Role::Primary => Role::Primary,
         view::Role::Replica => Role::Replica,
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -16,15 +16,15 @@
 
 /// A status is trusted for routing this many status periods, so one slow poll does not take
 /// a server out of rotation.
-const FRESH_PERIODS: u32 = 3;
+const STATUS_TTL_PERIODS: u32 = 3;
 /// The least time a status is trusted, whatever the period.
-const FRESH_MIN: Duration = Duration::from_secs(1);
+const MIN_STATUS_TTL: Duration = Duration::from_secs(1);
 /// How long a server of a group this proxy does not watch is left alone after it did not answer.
-const REST: Duration = Duration::from_secs(2);
+const COOLDOWN: Duration = Duration::from_secs(2);
 
 /// How long a status read every `period` is trusted for routing.
 pub fn status_ttl(period: Duration) -> Duration {
-    (period * FRESH_PERIODS).max(FRESH_MIN)
+    (period * STATUS_TTL_PERIODS).max(MIN_STATUS_TTL)
 }
 
 /// Whether a server says it leads.
@@ -111,9 +111,9 @@
 pub struct Cooldown(Arc<Mutex<Option<Instant>>>);
 
 impl Cooldown {
-    /// Leaves the server alone for [`REST`].
+    /// Leaves the server alone for [`COOLDOWN`].
     pub fn start(&self) {
-        *self.0.lock().unwrap() = Some(Instant::now() + REST);
+        *self.0.lock().unwrap() = Some(Instant::now() + COOLDOWN);
     }
 
     /// Whether the server is to be left alone at `now`.
@@ -123,7 +123,7 @@
 }
 
 /// How often the servers of a group are asked which of them leads.
-const SEARCH_EVERY: Duration = Duration::from_millis(200);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The primary that sessions found by asking the servers, in a group this proxy does not watch.
 ///
@@ -136,7 +136,7 @@
 #[derive(Debug, Default)]
 struct Search {
     leader: Option<(SocketAddr, u64)>,
-    asked_at: Option<Instant>,
+    started_at: Option<Instant>,
 }
 
 impl Discovery {
@@ -155,10 +155,10 @@
 
     /// Whether it is time to ask the servers; whoever is told so is to ask them.
     pub fn try_begin_search(&self, now: Instant) -> bool {
-        let asked_at = &mut self.0.lock().unwrap().asked_at;
-        let due = asked_at.is_none_or(|at| now.duration_since(at) >= SEARCH_EVERY);
+        let started_at = &mut self.0.lock().unwrap().started_at;
+        let due = started_at.is_none_or(|at| now.duration_since(at) >= SEARCH_INTERVAL);
         if due {
-            *asked_at = Some(now);
+            *started_at = Some(now);
         }
         due
     }
@@ -226,19 +226,19 @@
     /// later term has been taken.
     pub fn leader(&self, now: Instant) -> Option<usize> {
         if !self.watched {
-            return self.recorded();
+            return self.recorded_leader();
         }
-        let floor = self.term_floor(now);
+        let min_term = self.min_leader_term(now);
         self.fresh_statuses(now)
-            .filter(|(_, status)| status.role == Role::Primary && status.term >= floor)
-            .filter(|&(index, status)| self.may_lead(index, status.term))
+            .filter(|(_, status)| status.role == Role::Primary && status.term >= min_term)
+            .filter(|&(index, status)| self.is_acceptable_leader(index, status.term))
             .max_by_key(|(_, status)| status.term)
             .map(|(index, _)| index)
     }
 
     /// Whether a server's word is enough that it leads this group at `term`. The address of one
     /// that was taken out may belong to another group by now, so the record has to name it.
-    fn may_lead(&self, index: usize, term: u64) -> bool {
+    fn is_acceptable_leader(&self, index: usize, term: u64) -> bool {
         let server = &self.servers[index];
         let record = self.stored.as_ref().map(|stored| &stored.record);
         server.listed
@@ -247,7 +247,7 @@
     }
 
     /// The server that leads by the record, or at a later term by its own word.
-    fn recorded(&self) -> Option<usize> {
+    fn recorded_leader(&self) -> Option<usize> {
         let record = self.stored.as_ref().map(|stored| &stored.record);
         let recorded = record.and_then(|record| Some((record.server?, record.term)));
         let known = recorded.into_iter().chain(self.discovery.leader());
@@ -275,7 +275,7 @@
     }
 
     /// The lowest term a primary may have to be used.
-    fn term_floor(&self, now: Instant) -> u64 {
+    fn min_leader_term(&self, now: Instant) -> u64 {
         match &self.stored {
             Some(stored) if stored.record.server.is_some() || self.claimed(now) => {
                 stored.record.term
