--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -1,5 +1,5 @@
-//! The control state as the traffic side sees it: the bundle in force and, per group, each
-//! server's pool and last known status.
+//! The control state that sessions read: the applied bundle and, per group, each server's pool and
+//! last known status.
 //!
 //! The control thread owns the state and publishes an immutable [`View`] after each change;
 //! sessions read the latest one without locks (`docs/DESIGN.md`, "Threads").
@@ -14,65 +14,64 @@
 use deadpool_postgres::Pool;
 use tokio_util::sync::CancellationToken;
 
-/// A status is trusted for routing this many status periods, so one slow poll does not take
-/// a server out of rotation.
+/// A status expires only after several polling periods, so that one slow poll does not take a
+/// server out of rotation.
 const STATUS_TTL_PERIODS: u32 = 3;
-/// The least time a status is trusted, whatever the period.
 const MIN_STATUS_TTL: Duration = Duration::from_secs(1);
-/// How long a server of a group this proxy does not watch is left alone after it did not answer.
+/// How long an unresponsive server gets no reads, in groups that this proxy does not watch.
 const COOLDOWN: Duration = Duration::from_secs(2);
 
-/// How long a status read every `period` is trusted for routing.
+/// How long a status is trusted for routing if it is polled every `period`.
 pub fn status_ttl(period: Duration) -> Duration {
     (period * STATUS_TTL_PERIODS).max(MIN_STATUS_TTL)
 }
 
-/// Whether a server says it leads.
+/// A server's role as it reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Primary,
     Replica,
 }
 
-/// What a server last reported about itself.
+/// The status that a server last reported.
 #[derive(Clone, Copy, Debug)]
 pub struct Status {
     pub role: Role,
     /// The highest term the server has accepted.
     pub term: u64,
-    /// Which log it has: another number once it has lost one, zero if it does not say.
+    /// Identifies the server's log. Changes when the server loses its log; zero if not reported.
     pub log_id: u64,
-    /// The last entry in its table.
+    /// The last log position applied to the server's table.
     pub position: Position,
-    /// At most how old its table was at `read_at`.
+    /// An upper bound on the staleness of the server's table at `read_at`.
     pub lag: Duration,
-    /// How long it had not heard from a primary at `read_at`.
+    /// The time since the server last heard from a primary, at `read_at`.
     pub silence: Duration,
-    /// When the proxy read this.
+    /// When the proxy requested the status.
     pub read_at: Instant,
 }
 
 impl Status {
-    /// At most how old the server's table is at `now`.
+    /// An upper bound on the staleness of the server's table at `now`.
     pub fn age(&self, now: Instant) -> Duration {
         self.lag + now.duration_since(self.read_at)
     }
 }
 
-/// The last status of a server, `None` until the first is read and after a read fails.
+/// The last status of a server; `None` before the first successful read and after a failed one.
 ///
-/// The control thread writes it and sessions read it, so new positions and lags need no new
-/// [`View`]: at 4,000 groups, publishing one for every status read costs more than the reads.
+/// Shared by the control thread, which writes it, and the sessions, so that a status read does not
+/// require publishing a new [`View`], which would be expensive with thousands of groups.
 #[derive(Clone, Debug, Default)]
 pub struct StatusCell(Arc<Mutex<Option<Status>>>);
 
 impl StatusCell {
-    /// The status, if there is one.
+    /// The last status.
     pub fn get(&self) -> Option<Status> {
         *self.0.lock().unwrap()
     }
 
-    /// Replaces the status; returns the one before.
+    /// Replaces the status and returns the previous one.
     pub fn set(&self, status: Option<Status>) -> Option<Status> {
         std::mem::replace(&mut *self.0.lock().unwrap(), status)
     }
@@ -84,21 +83,22 @@
     pub address: SocketAddr,
     pub pool: Pool,
     pub status: StatusCell,
-    /// Whether it is about to stop or was taken out of the list; it gets no new reads, and a
-    /// primary is replaced first.
+    /// Whether it is about to stop or was removed from the bundle. It gets no new reads, and if it
+    /// is the primary, it is replaced before it stops.
     pub leaving: bool,
-    /// Whether the bundle in force lists it. One that it does not list stays while it counts for
-    /// commits (`docs/DESIGN.md`, "Failover").
+    /// Whether the applied bundle lists it. An unlisted server remains in the group while it counts
+    /// for the promotion quorum (`docs/DESIGN.md`, "Failover").
     pub listed: bool,
-    /// Set while it is left alone, in a group that is not watched.
+    /// Active while the server gets no reads because it did not answer, in groups that are not
+    /// watched.
     pub cooldown: Cooldown,
-    /// Cancelled when another server has taken over from this one: what is under way here as
-    /// on a primary gets its final answer at once.
+    /// Cancelled when another server replaces this one as primary, so that in-flight statements are
+    /// answered at once.
     pub superseded: CancellationToken,
 }
 
 impl Server {
-    /// The status, if it was read within `limit` before `now`.
+    /// The status, if it is not older than `limit` at `now`.
     pub fn fresh_status(&self, now: Instant, limit: Duration) -> Option<Status> {
         self.status
             .get()
@@ -106,30 +106,30 @@
     }
 }
 
-/// Until when a server that did not answer is left alone; shared by all sessions.
+/// How long a server that did not answer gets no reads; shared by all sessions.
 #[derive(Clone, Debug, Default)]
 pub struct Cooldown(Arc<Mutex<Option<Instant>>>);
 
 impl Cooldown {
-    /// Leaves the server alone for [`COOLDOWN`].
+    /// Starts the cooldown.
     pub fn start(&self) {
         *self.0.lock().unwrap() = Some(Instant::now() + COOLDOWN);
     }
 
-    /// Whether the server is to be left alone at `now`.
+    /// Whether the server must not get reads at `now`.
     pub fn is_active(&self, now: Instant) -> bool {
         self.0.lock().unwrap().is_some_and(|until| now < until)
     }
 }
 
-/// How often the servers of a group are asked which of them leads.
+/// How often the servers of a group are asked which of them is primary.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The primary that sessions found by asking the servers, in a group this proxy does not watch.
+/// The primary found by asking the servers, in a group that this proxy does not watch.
 ///
-/// Failure: the proxy is cut off from the KV while a primary is replaced, and sends writes to
-/// the old one until the KV is back. Guard: sessions that get no further ask the servers, a
-/// few times a second for all of them together, and the highest term that leads is used.
+/// While the proxy cannot reach the key-value store (KV), it does not learn of a failover from it.
+/// Sessions whose writes fail then ask the servers, at a rate limited for all sessions together,
+/// and use the reported primary with the highest term.
 #[derive(Clone, Debug, Default)]
 pub struct Discovery(Arc<Mutex<Search>>);
 
@@ -140,12 +140,13 @@
 }
 
 impl Discovery {
-    /// The server that said it leads, and its term.
+    /// The server that reported itself as primary, and its term.
     pub fn leader(&self) -> Option<(SocketAddr, u64)> {
         self.0.lock().unwrap().leader
     }
 
-    /// Notes that a server says it leads at `term`, unless a later term is known.
+    /// Stores a server that reported itself as primary at `term`, unless that term or a later one is
+    /// already known.
     pub fn report(&self, server: SocketAddr, term: u64) {
         let leader = &mut self.0.lock().unwrap().leader;
         if leader.is_none_or(|(_, known)| known < term) {
@@ -153,7 +154,8 @@
         }
     }
 
-    /// Whether it is time to ask the servers; whoever is told so is to ask them.
+    /// Whether a search is due. Returns `true` to only one caller per interval, which must then ask
+    /// the servers.
     pub fn try_begin_search(&self, now: Instant) -> bool {
         let started_at = &mut self.0.lock().unwrap().started_at;
         let due = started_at.is_none_or(|at| now.duration_since(at) >= SEARCH_INTERVAL);
@@ -164,23 +166,23 @@
     }
 }
 
-/// The KV's record of a group's primary, as last seen.
+/// A group's primary record as last read from the KV.
 #[derive(Clone, Debug)]
 pub struct StoredRecord {
     pub record: Record,
-    /// The KV revision that wrote it.
+    /// The KV revision at which it was written.
     pub revision: u64,
     pub seen_at: Instant,
-    /// The KV came back from a copy of before this record, which is to be written again.
+    /// The KV was restored from a backup taken before this record, which must be rewritten.
     pub lost_in_restore: bool,
 }
 
 impl StoredRecord {
-    /// What holds once the KV, in which this record is lost_in_restore, has shown `found`.
+    /// Chooses between this record and `found`, which was read from the KV later.
     ///
-    /// Failure: the copy is from before a promotion; by its record the replaced primary leads, and its term
-    /// is given out a second time. Guard: the record of the later term stays and is written again over what
-    /// was found.
+    /// If the KV was restored from a backup taken before a promotion, its record names the replaced
+    /// primary, and the promotion's term could be claimed a second time. This record is therefore
+    /// kept if its term is later, with the revision of `found`, over which it is rewritten.
     pub fn reconcile(&self, found: Self) -> Self {
         let order = |record: &Record| (record.term, record.server.is_some());
         match self.lost_in_restore && order(&self.record) > order(&found.record) {
@@ -193,37 +195,38 @@
     }
 }
 
-/// One database group's servers.
+/// The servers and primary of one database group.
 #[derive(Clone, Debug, Default)]
 pub struct Group {
     pub servers: Vec<Server>,
-    /// How long a server's status is trusted, from [`status_ttl`].
+    /// How long a server's status is trusted for routing.
     pub status_ttl: Duration,
-    /// How long a claimed term keeps the old primary out of use before a server is promoted.
-    /// After it the claimant has failed, and the old primary, if it is there, may serve
-    /// again: the servers themselves refuse what a fence forbids.
+    /// How long a claimed term without a promoted server excludes the old primary from use. After
+    /// that the claimant is presumed to have failed, and the old primary may be used again. This is
+    /// safe because fenced servers refuse writes of earlier terms themselves.
     pub claim_limit: Duration,
     /// `None` while the KV has no record of this group.
     pub stored: Option<StoredRecord>,
-    /// The KV has a record that cannot be read: nobody can be promoted over it.
+    /// The KV has a record that cannot be parsed, which prevents any promotion.
     pub unreadable: bool,
-    /// Whether this proxy reads the servers' status. Otherwise it knows the primary from the
-    /// record, and asks a replica for its status along with each read.
+    /// Whether this proxy polls the servers' status. If not, it takes the primary from the record,
+    /// and requests a replica's status together with each read.
     pub watched: bool,
-    /// What sessions found out about the primary while it is not watched.
+    /// The primary found by sessions while the group is not watched.
     pub discovery: Discovery,
 }
 
 impl Group {
-    /// The primary that callers may use. Before the group has a record there is none: a proxy that
-    /// starts could not know of a server that was taken out and alone has a commit.
+    /// The index of the primary that callers may use. `None` before the group has a record: a proxy
+    /// that starts later could not know of a server that alone has a commit and was removed from
+    /// the bundle.
     pub fn primary(&self, now: Instant) -> Option<usize> {
         let recorded = self.stored.is_some() || self.unreadable;
         self.leader(now).filter(|_| recorded)
     }
 
-    /// The server that leads at the highest term among those with a fresh status, unless a
-    /// later term has been taken.
+    /// The index of the primary with the highest term among the servers with a fresh status, unless
+    /// a later term is recorded or claimed.
     pub fn leader(&self, now: Instant) -> Option<usize> {
         if !self.watched {
             return self.recorded_leader();
@@ -236,8 +239,8 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether a server's word is enough that it leads this group at `term`. The address of one
-    /// that was taken out may belong to another group by now, so the record has to name it.
+    /// Whether a server that reports itself as primary at `term` is accepted as such. The address of
+    /// an unlisted server may have been reused by another group, so the record must name it.
     fn is_acceptable_leader(&self, index: usize, term: u64) -> bool {
         let server = &self.servers[index];
         let record = self.stored.as_ref().map(|stored| &stored.record);
@@ -246,7 +249,7 @@
                 .is_some_and(|record| record.term == term && record.server == Some(server.address))
     }
 
-    /// The server that leads by the record, or at a later term by its own word.
+    /// The index of the primary according to the record, or of one found at a later term.
     fn recorded_leader(&self) -> Option<usize> {
         let record = self.stored.as_ref().map(|stored| &stored.record);
         let recorded = record.and_then(|record| Some((record.server?, record.term)));
@@ -257,7 +260,7 @@
             .position(|server| server.address == leader)
     }
 
-    /// The servers with a fresh status.
+    /// The indexes and statuses of the servers with a fresh status.
     pub fn fresh_statuses(&self, now: Instant) -> impl Iterator<Item = (usize, Status)> + '_ {
         let read = move |index: usize| {
             let status = self.servers[index].fresh_status(now, self.status_ttl)?;
@@ -266,7 +269,7 @@
         (0..self.servers.len()).filter_map(read)
     }
 
-    /// Whether another proxy has taken a term and may still be about to promote at it.
+    /// Whether a proxy has claimed a term recently and may be about to promote a server at it.
     pub fn claimed(&self, now: Instant) -> bool {
         self.stored.as_ref().is_some_and(|stored| {
             let pending = stored.record.server.is_none();
@@ -274,7 +277,7 @@
         })
     }
 
-    /// The lowest term a primary may have to be used.
+    /// The lowest term at which a primary may be used.
     fn min_leader_term(&self, now: Instant) -> u64 {
         match &self.stored {
             Some(stored) if stored.record.server.is_some() || self.claimed(now) => {
@@ -285,11 +288,11 @@
     }
 }
 
-/// The bundle in force and the groups built from it.
+/// The applied bundle and the groups built from it.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     pub bundle: Option<Arc<Bundle>>,
-    /// How many live proxies the KV has told of, this one included.
+    /// The number of live proxies, including this one.
     pub members: usize,
     pub groups: Map<String, Group>,
 }
