--- a/crates/proxy/benches/control.rs
+++ b/crates/proxy/benches/control.rs
@@ -1,5 +1,5 @@
-//! What the control part computes at the size to design for (`docs/CAPACITY.md`): who watches
-//! what when a proxy comes or goes, and reading a bundle. Fails past its regression bounds.
+//! Control side costs at the design size (`docs/CAPACITY.md`): assigning groups to proxies, parsing
+//! a bundle, and the memory of idle pools. Fails if a cost exceeds its regression bound.
 //!
 //! Run with `cargo bench -p dandelionpitch-proxy`.
 
@@ -19,7 +19,7 @@
 const PROXIES: usize = 3_400;
 const DCS: usize = 15;
 const GROUPS: usize = 4_000;
-const DUTY_BOUND: Duration = Duration::from_millis(300);
+const ASSIGNMENT_BOUND: Duration = Duration::from_millis(300);
 const POOL_KB_BOUND: f64 = 4.0;
 const BUNDLE_BOUND: Duration = Duration::from_millis(500);
 
@@ -46,8 +46,8 @@
     text
 }
 
-/// KB for the pool of one backend server without a connection.
-fn pool_size() -> f64 {
+/// The memory in KB of a pool without connections.
+fn pool_kb() -> f64 {
     let config = Config::load(None).expect("the embedded settings");
     let before = resident();
     let pools: Vec<_> = (0..3 * GROUPS)
@@ -66,26 +66,37 @@
         id: "proxy-0".to_owned(),
     };
     let names: Vec<String> = (0..GROUPS).map(|group| format!("g{group}")).collect();
-    let mut mine = 0;
-    let duty = median(|| {
+    let mut watched_count = 0;
+    let assign = median(|| {
         let watched = names
             .iter()
             .filter(|name| roster.watchers(name).contains(&&me));
-        mine = watched.count();
+        watched_count = watched.count();
     });
     let text = bundle();
     let parse = median(|| {
         Bundle::parse(&text).expect("a valid bundle");
     });
 
-    let pool = pool_size();
+    let pool = pool_kb();
     println!(
         "pool: {pool:.2} KB a server, {:.1} MB for all",
         pool * 3.0 * GROUPS as f64 / 1024.0
     );
-    println!("duty: {duty:.1?} for {GROUPS} groups over {PROXIES} proxies, {mine} to watch");
+    println!(
+        "duty: {assign:.1?} for {GROUPS} groups over {PROXIES} proxies, {watched_count} to watch"
+    );
     println!("bundle: {} KB, {parse:.1?} to read", text.len() / 1024);
-    assert!(duty <= DUTY_BOUND, "duty is past its bound");
-    assert!(pool <= POOL_KB_BOUND, "an unused pool is past its bound");
-    assert!(parse <= BUNDLE_BOUND, "reading a bundle is past its bound");
+    assert!(
+        assign <= ASSIGNMENT_BOUND,
+        "assignment takes longer than its bound"
+    );
+    assert!(
+        pool <= POOL_KB_BOUND,
+        "an idle pool uses more memory than its bound"
+    );
+    assert!(
+        parse <= BUNDLE_BOUND,
+        "parsing a bundle takes longer than its bound"
+    );
 }
--- a/crates/proxy/tests/assignment.rs
+++ b/crates/proxy/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Which proxies count as live when the KV has been away.
+//! Which proxies count as live after an outage of the key-value store (KV).
 
 use std::time::{Duration, Instant};
 
@@ -15,11 +15,10 @@
     (0..12).map(member).collect()
 }
 
-/// The KV was down for longer than its leases last. On its return a proxy's first list holds only
-/// itself, as the others have not renewed yet. If it took itself for the only one, it would watch every
-/// group; at 3,400 proxies that is a burst of status reads at 12,000 servers.
+/// Guards against a proxy that watches every group because the first list after a KV outage does
+/// not yet contain the other proxies.
 #[test]
-fn proxies_missing_after_an_outage_count_until_they_had_time_to_return() {
+fn missing_proxies_count_until_timeout_after_kv_outage() {
     let now = Instant::now();
     let mut roster = Roster::default();
     roster.replace(all(), now);
@@ -36,9 +35,9 @@
     assert_eq!(roster.len(), 2);
 }
 
-/// A lease that runs out while the KV answers is news: its proxy is gone.
+/// Guards against counting a proxy whose lease expired while the KV is available.
 #[test]
-fn proxy_whose_lease_ran_out_is_gone_at_once() {
+fn proxy_with_expired_lease_is_removed_at_once() {
     let now = Instant::now();
     let mut roster = Roster::default();
     roster.replace(all(), now);
--- a/crates/proxy/tests/connection.rs
+++ b/crates/proxy/tests/connection.rs
@@ -1,4 +1,4 @@
-//! What becomes of a pooled connection whose server falls silent.
+//! Pooled connections to a server that stops answering.
 
 use std::{
     io::{Read, Write},
@@ -12,7 +12,7 @@
 /// `AuthenticationOk`, then `ReadyForQuery` with no transaction open.
 const WELCOME: &[u8] = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I";
 
-/// A server that lets a client in and never answers a query.
+/// A server that accepts a client and never answers a query.
 fn silent_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -27,17 +27,16 @@
     address
 }
 
-/// A caller's read asks a replica for its position, and the connection has gone silent. The caller is
-/// served elsewhere. If the connection went back to the pool, the next read would wait on it as well,
-/// behind an answer that will not come.
+/// Guards against returning a connection with an outstanding answer to the pool, where it would
+/// block the next read.
 #[tokio::test]
-async fn connection_without_an_answer_does_not_go_back() {
+async fn connection_with_outstanding_answer_is_not_reused() {
     let config = Config::load(None).expect("the embedded settings");
     let pool = pool::build(silent_server(), "ledger", 1, &config);
     let alive = CancellationToken::new();
     let mut connection = Connection::checkout(&pool, &alive)
         .await
-        .expect("the server lets the pool in");
+        .expect("the server accepts the pool");
 
     let deadline = Instant::now() + Duration::from_millis(100);
     let position = connection.position(deadline).await;
--- a/crates/proxy/tests/decision.rs
+++ b/crates/proxy/tests/decision.rs
@@ -1,4 +1,4 @@
-//! Whether a primary counts as failed, from statuses alone.
+//! When a primary counts as failed or superseded, given the statuses and the record.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
 /// The address of the first server of a group.
 const SERVER_0: ([u8; 4], u16) = ([127, 0, 0, 1], 5000);
 
-/// A status read now; `silent_ms` is how long the server has not heard from a primary.
+/// A status read now from a server that last heard from a primary `silent_ms` ago.
 fn status(role: Role, term: u64, silent_ms: u64) -> Option<Status> {
     Some(Status {
         role,
@@ -33,7 +33,7 @@
     })
 }
 
-/// A group of servers with these statuses, and the record of its primary, if any.
+/// A group of servers with these statuses and, if any, this primary record.
 fn group(statuses: [Option<Status>; 3], stored: Option<StoredRecord>) -> Group {
     let config = Config::load(None).expect("the embedded settings");
     let server = |(index, status)| {
@@ -75,22 +75,22 @@
     })
 }
 
-/// Whether the group counts as failed, led by its primary for `led`.
+/// Whether the primary, first seen `led` ago, counts as failed.
 fn failed(statuses: [Option<Status>; 3], stored: Option<StoredRecord>, led: Duration) -> bool {
     let now = Instant::now();
     let led_since = now.checked_sub(led);
     evaluate(&group(statuses, stored), led_since, LIMITS, now) == Decision::Failed
 }
 
-/// The primary is out of this proxy's sight. It has failed if both replicas miss it; one
-/// replica's silence, or none, may be that replica's or this proxy's own trouble.
+/// Guards against replacing a healthy primary that only this proxy, or this proxy and a single
+/// replica, cannot reach.
 #[parameterized(
-    both_miss_it = { 400, 400, true },
-    one_misses_it = { 400, 5, false },
-    only_we_miss_it = { 5, 5, false },
-    not_yet = { 250, 250, false },
+    both_replicas_silent = { 400, 400, true },
+    one_replica_silent = { 400, 5, false },
+    no_replica_silent = { 5, 5, false },
+    below_timeout = { 250, 250, false },
 )]
-fn primary_out_of_sight(first: u64, second: u64, expected: bool) {
+fn unreachable_primary_fails_by_quorum(first: u64, second: u64, expected: bool) {
     let statuses = [
         None,
         status(Role::Replica, 1, first),
@@ -100,7 +100,8 @@
     assert_eq!(failed(statuses, None, LONG_AGO), expected);
 }
 
-/// The primary answers us, but no replica hears from it, so it can commit nothing.
+/// Guards against keeping a primary that answers this proxy but cannot commit, as no replica hears
+/// from it.
 #[test]
 fn primary_without_replicas_has_failed() {
     let statuses = [
@@ -112,14 +113,13 @@
     assert!(failed(statuses, None, LONG_AGO));
 }
 
-/// Server 1 was promoted a moment ago. The other statuses are from before and still tell of
-/// the old primary's silence; taken at their word they would get the new primary replaced in
-/// turn, and members would wait through a second gap for nothing.
+/// Guards against replacing a new primary because of statuses read before its promotion, which
+/// report the silence of the old one.
 #[parameterized(
     just_seen = { Duration::from_millis(20), LONG_AGO },
     just_recorded = { LONG_AGO, Duration::from_millis(20) },
 )]
-fn new_primary_is_given_time(led: Duration, recorded: Duration) {
+fn new_primary_is_kept_during_grace_period(led: Duration, recorded: Duration) {
     let statuses = [
         status(Role::Replica, 2, 700),
         status(Role::Primary, 2, 0),
@@ -129,12 +129,12 @@
     assert!(!failed(statuses, stored(2, Some(1), recorded), led));
 }
 
-/// Another proxy claimed the next term. It is left to it until the claim has had its time.
+/// Guards against interfering with the failover of another proxy before its claim has expired.
 #[parameterized(
     fresh_claim = { Duration::from_millis(500), false },
-    lapsed_claim = { Duration::from_secs(3), true },
+    expired_claim = { Duration::from_secs(3), true },
 )]
-fn claim_is_left_its_time(seen: Duration, expected: bool) {
+fn claim_blocks_failover_until_expired(seen: Duration, expected: bool) {
     let statuses = [
         None,
         status(Role::Replica, 1, 900),
@@ -144,14 +144,13 @@
     assert_eq!(failed(statuses, stored(2, None, seen), LONG_AGO), expected);
 }
 
-/// A proxy claimed a term and stopped before a server heard of it; the primary goes on at an
-/// earlier one. Its claim may still take effect, so it is passed over with a later term. To record
-/// the primary's own term would hand out the claimed one a second time.
+/// Guards against a term that two proxies claim: a proxy may continue after its claim has expired, so
+/// an earlier term must not be recorded over the claim.
 #[parameterized(
     claim_above_its_term = { 2, 1, Decision::StaleTerm },
     claim_of_its_term = { 2, 2, Decision::Unrecorded { term: 2, server: SERVER_0.into() } },
 )]
-fn lapsed_claim_is_passed_over(claimed: u64, led: u64, expected: Decision) {
+fn expired_claim_is_superseded_by_later_term(claimed: u64, led: u64, expected: Decision) {
     let statuses = [
         status(Role::Primary, led, 0),
         status(Role::Replica, led, 5),
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Other proxies that statements are handed to, while some of them cannot be reached.
+//! Forwarding of statements to the proxies that own a group, while some of them are unreachable.
 
 use std::{
     io::Write,
@@ -32,25 +32,25 @@
 
 const GROUP: &str = "ledger";
 
-/// Longer than it takes to find out that a VM is not there, and that it is back.
-const SETTLED: Duration = Duration::from_millis(1_500);
+/// Longer than it takes to detect that a peer is unreachable, or reachable again.
+const DETECTION_TIME: Duration = Duration::from_millis(1_500);
 
-/// A VM that accepts no more connections, as one behind a cut: its queue of new ones is full.
-struct Cut {
+/// A peer that looks partitioned: its accept queue is full, so new connections hang.
+struct PartitionedPeer {
     listener: TcpListener,
     _queued: Vec<TcpStream>,
 }
 
-impl Cut {
+impl PartitionedPeer {
     fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         socket.bind(&any.into()).expect("a free port");
-        socket.listen(0).expect("it listens");
+        socket.listen(0).expect("the socket listens");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
-        let patience = Duration::from_millis(50);
-        let queued = (0..3).map_while(|_| TcpStream::connect_timeout(&address, patience).ok());
+        let timeout = Duration::from_millis(50);
+        let queued = (0..3).map_while(|_| TcpStream::connect_timeout(&address, timeout).ok());
         Self {
             _queued: queued.collect(),
             listener,
@@ -61,7 +61,7 @@
         self.listener.local_addr().expect("an address")
     }
 
-    /// Accepts what waits and whatever comes.
+    /// Accepts all queued and new connections.
     fn heal(self) {
         std::thread::spawn(move || while self.listener.accept().is_ok() {});
     }
@@ -76,8 +76,8 @@
     }
 }
 
-/// The group's statements go to the near owner first and then to the far ones.
-fn known(near: &Peer, far: &[&Peer]) -> Peers {
+/// Peers that own the group, with `near` preferred over `far`.
+fn peers_owning(near: &Peer, far: &[&Peer]) -> Peers {
     let plan = Plan::HandOver {
         near: vec![near.id.clone()],
         far: far.iter().map(|peer| peer.id.clone()).collect(),
@@ -97,38 +97,37 @@
     peers
 }
 
-fn ids(asked: Option<Vec<Rc<Backend>>>) -> Vec<String> {
-    let asked = asked.expect("it is handed over");
-    asked
+fn ids(owners: Option<Vec<Rc<Backend>>>) -> Vec<String> {
+    let owners = owners.expect("the group is forwarded");
+    owners
         .iter()
         .map(|peer| peer.server.id().to_owned())
         .collect()
 }
 
-/// A cut parts half of the proxies from the other half for seconds. The first statement that meets it finds the near
-/// owner gone; from then on statements go to those that are there without waiting, also past a
-/// far owner that nobody has asked yet, and to the near one again once the cut has healed.
+/// Guards against statements that wait for owners behind a network partition after the first one found
+/// an owner unreachable, and against avoiding the near owner after the partition has healed.
 #[tokio::test]
-async fn statements_do_not_wait_for_lost_owners() {
-    let (near, far) = (Cut::new(), Cut::new());
-    let there = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let there_at = there.local_addr().expect("an address");
+async fn statements_skip_unreachable_owners() {
+    let (near, far) = (PartitionedPeer::new(), PartitionedPeer::new());
+    let reachable = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let reachable_address = reachable.local_addr().expect("an address");
     let all = [
         peer("near", near.address()),
         peer("far", far.address()),
-        peer("there", there_at),
+        peer("there", reachable_address),
     ];
-    let peers = known(&all[0], &[&all[1], &all[2]]);
+    let peers = peers_owning(&all[0], &[&all[1], &all[2]]);
     let local = LocalSet::new();
 
     let (before, during, after) = local
         .run_until(async {
             let before = peers.of(GROUP);
             peers.lose(&before.as_ref().expect("owners")[0]);
-            tokio::time::sleep(SETTLED).await;
+            tokio::time::sleep(DETECTION_TIME).await;
             let during = peers.of(GROUP);
             near.heal();
-            tokio::time::sleep(SETTLED).await;
+            tokio::time::sleep(DETECTION_TIME).await;
             (ids(before), ids(during), ids(peers.of(GROUP)))
         })
         .await;
@@ -138,58 +137,58 @@
     assert_eq!(after[0], "near");
 }
 
-/// All proxies are restarted at once, and each finds the first owner gone. If it then called on every owner of every
-/// group, hundreds of proxies would call on each other by the ten thousand.
+/// Guards against a connection storm when all proxies restart at once: a proxy that finds an owner
+/// unreachable must not connect to all other owners.
 #[tokio::test]
-async fn one_loss_calls_on_some_of_many_owners() {
-    let lost = peer("lost", Cut::new().address());
-    let others: Vec<(Peer, Arc<AtomicUsize>)> = (0..100).map(counting).collect();
+async fn unreachable_owner_causes_few_connections() {
+    let unreachable = peer("lost", PartitionedPeer::new().address());
+    let others: Vec<(Peer, Arc<AtomicUsize>)> = (0..100).map(counting_peer).collect();
     let far: Vec<&Peer> = others.iter().map(|(peer, _)| peer).collect();
-    let peers = known(&lost, &far);
+    let peers = peers_owning(&unreachable, &far);
     let local = LocalSet::new();
 
     local
         .run_until(async {
             let owners = peers.of(GROUP).expect("owners");
             peers.lose(&owners[0]);
-            tokio::time::sleep(SETTLED).await;
+            tokio::time::sleep(DETECTION_TIME).await;
         })
         .await;
 
-    let called = others
+    let accepted = others
         .iter()
-        .map(|(_, calls)| calls.load(Ordering::Relaxed));
-    let called: usize = called.sum();
-    assert!((20..=32).contains(&called), "{called} of 100");
+        .map(|(_, connections)| connections.load(Ordering::Relaxed));
+    let accepted: usize = accepted.sum();
+    assert!((20..=32).contains(&accepted), "{accepted} of 100");
 }
 
-/// Another proxy that counts the connections it is asked for.
-fn counting(index: usize) -> (Peer, Arc<AtomicUsize>) {
+/// A peer that counts the connections it accepts.
+fn counting_peer(index: usize) -> (Peer, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let calls = Arc::new(AtomicUsize::default());
-    let counted = calls.clone();
+    let connections = Arc::new(AtomicUsize::default());
+    let counted = connections.clone();
     std::thread::spawn(move || {
         while listener.accept().is_ok() {
             counted.fetch_add(1, Ordering::Relaxed);
         }
     });
-    (peer(&format!("far-{index}"), address), calls)
+    (peer(&format!("far-{index}"), address), connections)
 }
 
-/// All owners are behind the cut. They are still named: nobody else can run the statement.
+/// Guards against having no owner to forward to when all owners are unreachable.
 #[tokio::test]
-async fn lost_owners_are_asked_if_there_are_no_others() {
-    let near = Cut::new();
+async fn unreachable_owners_are_used_if_there_are_no_others() {
+    let near = PartitionedPeer::new();
     let only = peer("near", near.address());
-    let peers = known(&only, &[]);
+    let peers = peers_owning(&only, &[]);
     let local = LocalSet::new();
 
     let during = local
         .run_until(async {
             let owners = peers.of(GROUP).expect("owners");
             peers.lose(&owners[0]);
-            tokio::time::sleep(SETTLED).await;
+            tokio::time::sleep(DETECTION_TIME).await;
             ids(peers.of(GROUP))
         })
         .await;
@@ -197,64 +196,65 @@
     assert_eq!(during, ["near"]);
 }
 
-/// Another proxy that takes connections and answers nothing more.
-fn welcoming() -> SocketAddr {
+/// A peer that greets each connection and sends nothing more.
+fn greeting_peer() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         let mut open = Vec::new();
         while let Ok((mut stream, _)) = listener.accept() {
-            stream.write_all(b"READY I -\r\n").expect("it is read");
+            stream
+                .write_all(b"READY I -\r\n")
+                .expect("the stream is writable");
             open.push(stream);
         }
     });
     address
 }
 
-/// After a restart of everything a proxy has many statements for one owner at once, and later one at a time. If
-/// the connections of that moment stayed, hundreds of proxies would take the descriptors of the
-/// owner's VM with what nobody uses.
+/// Guards against keeping the connections of a burst of statements open: the idle connections of many
+/// proxies would use up the owner's file descriptors.
 #[tokio::test]
-async fn links_of_a_crowded_moment_are_closed_later() {
-    let owner = peer("near", welcoming());
-    let peers = known(&owner, &[]);
+async fn connections_of_a_burst_are_closed_later() {
+    let owner = peer("near", greeting_peer());
+    let peers = peers_owning(&owner, &[]);
     let local = LocalSet::new();
 
-    let (crowded, later) = local
+    let (during_burst, later) = local
         .run_until(async {
             let owner = peers.of(GROUP).expect("owners").remove(0);
             let mut lent = Vec::new();
             for _ in 0..10 {
                 lent.push(checkout(&owner).await);
             }
-            let crowded = owner.pool.open_now();
+            let during_burst = owner.pool.open_now();
             lent.into_iter().for_each(Checkout::release);
             for _ in 0..2 {
                 peers.tidy();
                 checkout(&owner).await.release();
             }
             peers.tidy();
-            (crowded, owner.pool.open_now())
+            (during_burst, owner.pool.open_now())
         })
         .await;
 
-    assert_eq!(crowded, 10);
-    assert_eq!(later, 2, "the one that is used and a spare one");
+    assert_eq!(during_burst, 10);
+    assert_eq!(later, 2, "one in use and one spare");
 }
 
-/// Callers press a proxy with more statements for one owner than that owner can have under way. The rest
-/// waits, or is refused, here: connections to an owner do not grow with the number of callers.
+/// Guards against connections to an owner that grow with the number of callers: excess statements wait
+/// or are refused.
 #[tokio::test]
-async fn links_to_one_owner_are_bounded() {
-    let owner = peer("near", welcoming());
-    let peers = known(&owner, &[]);
+async fn connections_to_one_owner_are_bounded() {
+    let owner = peer("near", greeting_peer());
+    let peers = peers_owning(&owner, &[]);
     let local = LocalSet::new();
 
     let open = local
         .run_until(async {
             let owner = peers.of(GROUP).expect("owners").remove(0);
-            let asked = (0..100).map(|_| tokio::time::timeout(CROWDED, checkout(&owner)));
-            let lent = futures::future::join_all(asked).await;
+            let checkouts = (0..100).map(|_| tokio::time::timeout(BURST_TIMEOUT, checkout(&owner)));
+            let lent = futures::future::join_all(checkouts).await;
             assert!(lent.iter().any(Result::is_err));
             owner.pool.open_now()
         })
@@ -263,8 +263,8 @@
     assert!(open <= 16, "{open} connections");
 }
 
-/// How long statements press for connections at once.
-const CROWDED: Duration = Duration::from_millis(300);
+/// How long the statements of a burst wait for a connection.
+const BURST_TIMEOUT: Duration = Duration::from_millis(300);
 
 async fn checkout(peer: &Rc<Backend>) -> Checkout {
     let deadline = clock::now() + Duration::from_secs(5);
@@ -274,22 +274,24 @@
     };
     let wish = Wish { rank, deadline };
     let lent = peer.pool.checkout(&Values::default(), wish).await;
-    lent.unwrap_or_else(|miss| panic!("no connection: {miss:?}"))
+    lent.unwrap_or_else(|error| panic!("no connection: {error:?}"))
 }
 
-/// The owner is there and busy: its VM accepts a connection at once, and its process says so a quarter of a
-/// second later. It is waited for; taken for lost, it would get none of its callers' statements while busy.
+/// Guards against treating a busy owner as unreachable: its kernel accepts the connection at once, and
+/// its process sends the greeting later.
 #[tokio::test]
-async fn busy_owner_is_not_lost() {
+async fn busy_owner_is_not_treated_as_unreachable() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let owner = peer("near", listener.local_addr().expect("an address"));
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("it is asked");
+        let (mut stream, _) = listener.accept().expect("a connection");
         std::thread::sleep(Duration::from_millis(250));
-        stream.write_all(b"READY I -\r\n").expect("it is read");
-        std::thread::sleep(SETTLED);
+        stream
+            .write_all(b"READY I -\r\n")
+            .expect("the stream is writable");
+        std::thread::sleep(DETECTION_TIME);
     });
-    let peers = known(&owner, &[]);
+    let peers = peers_owning(&owner, &[]);
     let local = LocalSet::new();
 
     let open = local
--- a/crates/proxy/tests/route.rs
+++ b/crates/proxy/tests/route.rs
@@ -1,11 +1,11 @@
-//! What a query string asks for, which decides where it runs and what becomes of its connection.
+//! Classification of query strings, which determines where they run and when their connection is
+//! returned to the pool.
 
 use dandelionpitch_proxy::route::{plan, Kind, Value};
 use yare::parameterized;
 
-/// A connection is handed back when its transaction has ended. Taken for an end, a rollback to
-/// a savepoint or a chained commit would hand it back with a transaction open, and the next
-/// caller's statements would run inside.
+/// Guards against returning a connection to the pool with a transaction open, for example after a
+/// rollback to a savepoint or a chained commit: the next caller's statements would run inside it.
 #[parameterized(
     read = { "SELECT * FROM ledger", Kind::Read },
     locking_read = { "SELECT * FROM ledger FOR UPDATE", Kind::Write },
@@ -16,22 +16,22 @@
     end = { "END", Kind::Commit },
     rollback = { "ROLLBACK", Kind::Rollback },
     savepoint = { "SAVEPOINT s", Kind::Write },
-    back_to_savepoint = { "ROLLBACK TO SAVEPOINT s", Kind::Write },
+    rollback_to_savepoint = { "ROLLBACK TO SAVEPOINT s", Kind::Write },
     commit_and_chain = { "COMMIT AND CHAIN", Kind::Script { open_after: true } },
     rollback_and_chain = { "ROLLBACK AND CHAIN", Kind::Script { open_after: true } },
-    whole = { "BEGIN; SELECT 1; COMMIT", Kind::Script { open_after: false } },
-    left_open = { "COMMIT; BEGIN", Kind::Script { open_after: true } },
+    complete_script = { "BEGIN; SELECT 1; COMMIT", Kind::Script { open_after: false } },
+    script_left_open = { "COMMIT; BEGIN", Kind::Script { open_after: true } },
     savepoint_inside = { "BEGIN; ROLLBACK TO SAVEPOINT s", Kind::Script { open_after: true } },
     two_writes = { "DELETE FROM ledger; SELECT 1", Kind::Write },
     garbage = { "SELEC 1", Kind::Unparsed },
     discard = { "DISCARD ALL", Kind::Discard },
 )]
-fn kinds(query: &str, expected: Kind) {
+fn query_kind_tells_transaction_end(query: &str, expected: Kind) {
     assert_eq!(plan(query).kind, expected);
 }
 
-/// What a session sets is set again on its other connections; what ends with its transaction
-/// is not.
+/// Guards against losing session settings on the session's other connections, and against applying
+/// transaction-local ones there.
 #[parameterized(
     set = { "SET app.x = 'a'", &["app.x"] },
     session = { "SET SESSION app.x = 'a'", &["app.x"] },
@@ -39,7 +39,7 @@
     among_others = { "SELECT 1; SET app.x = 'a'", &["app.x"] },
     none = { "SELECT 1", &[] },
 )]
-fn values(query: &str, expected: &[&str]) {
+fn session_settings_exclude_local_ones(query: &str, expected: &[&str]) {
     let values = plan(query).values;
 
     let names: Vec<&str> = values
--- a/crates/proxy/tests/voters.rs
+++ b/crates/proxy/tests/voters.rs
@@ -1,4 +1,4 @@
-//! Which servers count for a promotion while the bundle's list changes.
+//! Which servers count for the promotion quorum when servers are added or removed.
 
 use std::{
     net::SocketAddr,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A group that lists these servers, each with the end of its log; server 0 leads.
+/// A group that lists these servers, each with its last log position; server 0 is the primary.
 fn group(logs: &[(u16, u64)], members: &[u16], now: Instant) -> Group {
     let record = Record {
         term: 1,
@@ -67,11 +67,10 @@
     }
 }
 
-/// Replica 1 receives nothing, so replica 2 alone confirms the members' orders. Operators take
-/// replica 2 out. The two servers left look like the whole group, but one of them lacks the
-/// orders: two of three must hold a new term until replica 1 has caught up, and one of two after.
+/// Guards against losing commits that only a removed replica has: it counts until the remaining
+/// replica, which lags, has caught up.
 #[test]
-fn server_taken_out_counts_until_the_others_have_its_commits() {
+fn removed_server_counts_until_others_have_its_commits() {
     let start = Instant::now();
     let later = start + LIST_HOLDS + Duration::from_secs(1);
     let mut voters = Voters::new(start);
@@ -80,8 +79,8 @@
         start,
     );
 
-    let taken_out = start + Duration::from_millis(25);
-    voters.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], taken_out), taken_out);
+    let removed = start + Duration::from_millis(25);
+    voters.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], removed), removed);
     let while_behind = voters.quorum(SYNC_REPLICAS);
     voters.update(&group(&[(0, 10), (1, 5)], &[0, 1, 2], later), later);
     let still_behind = voters.quorum(SYNC_REPLICAS);
@@ -93,10 +92,10 @@
     assert_eq!(caught_up, Some(1));
 }
 
-/// A proxy starts after replica 2 was taken out and knows only the new list. The group's record
-/// names replica 2, whose commits may be nowhere else: it counts for this proxy, too.
+/// Guards against a proxy that starts after a replica was removed, and ignores the replica although
+/// the record names it.
 #[test]
-fn record_tells_a_new_proxy_of_a_server_taken_out() {
+fn new_proxy_counts_removed_server_named_in_record() {
     let now = Instant::now();
     let mut voters = Voters::new(now);
 
@@ -105,10 +104,10 @@
     assert_eq!(voters.quorum(SYNC_REPLICAS), Some(2));
 }
 
-/// The record is written again when it lacks a listed server, or names one that counts no longer;
-/// not while a server that was taken out still counts.
+/// Guards against a record that lacks a listed server or names one that no longer counts. It is not
+/// rewritten while a removed server still counts.
 #[test]
-fn record_follows_the_servers_that_count() {
+fn record_is_outdated_when_voters_change() {
     let now = Instant::now();
     let later = now + LIST_HOLDS + Duration::from_secs(1);
     let grown = group(&[(0, 10), (1, 10), (2, 10)], &[0, 1], now);
@@ -128,10 +127,10 @@
     assert_eq!(when_covered, Some((1, address(0))));
 }
 
-/// One bundle adds replica 3, the next takes it out before the record names it. Guards against a proxy that
-/// starts then and does not know of replica 3, which may alone have a commit.
+/// One bundle adds replica 3, the next removes it before the record names it. Guards against a proxy
+/// that starts then and does not know of replica 3, which may alone have a commit.
 #[test]
-fn record_lacks_a_server_until_it_is_written_again() {
+fn record_lacks_added_server_until_rewritten() {
     let now = Instant::now();
     let grown = group(&[(0, 10), (1, 10), (2, 10), (3, 12)], &[0, 1, 2], now);
     let shrunk = group(&[(0, 12), (1, 10), (2, 10)], &[0, 1, 2], now);
@@ -147,29 +146,29 @@
     assert!(!voters.record_lacks_voter(&written));
 }
 
-/// Replica 2 was taken out and still hears from the primary. Guards against forgetting it.
+/// Guards against ignoring a removed replica that still hears from the primary.
 #[test]
-fn server_taken_out_counts_while_it_receives() {
+fn removed_server_counts_while_it_hears_from_primary() {
     let start = Instant::now();
     let later = start + LIST_HOLDS + Duration::from_secs(1);
-    let taken_out = |now| {
+    let removed = |now| {
         let mut group = group(&[(0, 10), (1, 10), (2, 10)], &[0, 1, 2], now);
         group.servers[2].listed = false;
         group
     };
     let mut voters = Voters::new(start);
 
-    voters.update(&taken_out(start), start);
-    voters.update(&taken_out(later), later);
-    voters.update(&taken_out(later), later);
+    voters.update(&removed(start), start);
+    voters.update(&removed(later), later);
+    voters.update(&removed(later), later);
 
     assert_eq!(voters.quorum(SYNC_REPLICAS), Some(2));
 }
 
-/// A group is new and its record is not written yet. Guards against commits of which a proxy that starts
-/// later, with a shorter list, cannot know that they are on a server that was taken out.
+/// Guards against commits before a new group has a record: if a server with such a commit is removed,
+/// a proxy that starts later does not know of it.
 #[test]
-fn primary_is_not_used_before_the_group_is_recorded() {
+fn primary_is_not_used_before_group_has_record() {
     let now = Instant::now();
     let recorded = Group {
         watched: true,
@@ -187,10 +186,10 @@
     assert_eq!((new.primary(now), new.leader(now)), (None, Some(0)));
 }
 
-/// The KV came back from a copy whose record is from before replica 3 was added; by now it has been taken
-/// out again. Guards against taking the older record for word that the others have its commits.
+/// The KV is restored from a backup whose record was written before replica 3 was added. Guards
+/// against reading its absence from that record as proof that the others have its commits.
 #[test]
-fn record_of_a_copy_covers_nothing() {
+fn record_from_backup_removes_no_voter() {
     let now = Instant::now();
     let shrunk = group(&[(0, 12), (1, 10), (2, 10)], &[0, 1, 2, 3], now);
     let mut restored = group(&[(0, 12), (1, 10), (2, 10)], &[0, 1, 2], now);
