--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -53,7 +53,7 @@
     Bundle(Bundle),
     /// A group's primary record read from the KV.
     Record { group: String, stored: StoredRecord },
-    /// The KV was restored from a backup.
+    /// The KV was restored from a backup, which starts a new era of its revisions.
     Restored { era: u64 },
     /// A group's primary record in the KV cannot be parsed.
     UnreadableRecord { group: String },
@@ -269,11 +269,11 @@
             if known == Some(leader) {
                 continue;
             }
-            let since = Leader {
+            let current = Leader {
                 server: leader,
                 since: now,
             };
-            self.leaders.insert(name.clone(), since);
+            self.leaders.insert(name.clone(), current);
             let Some(old) = known else {
                 continue;
             };
@@ -333,7 +333,7 @@
                 log::info!(target: "failover", "Recorded the primary of group {group} at term {}.", outcome.term)
             }
             Err(error) => {
-                log::warn!(target: "failover", "Failover of group {group} failed: {error}.")
+                log::warn!(target: "failover", "Failover attempt on group {group} failed: {error}.")
             }
         }
         Change::Unchanged
--- a/crates/proxy/src/control/decision.rs
+++ b/crates/proxy/src/control/decision.rs
@@ -32,16 +32,16 @@
 pub struct Limits {
     /// How many servers must accept a new term.
     pub quorum: usize,
-    /// How long a quorum of replicas must not have heard from the primary.
-    pub after: Duration,
+    /// How long a quorum of replicas must not have heard from the primary before it counts as failed.
+    pub max_silence: Duration,
     /// How long after a promotion the replicas' silence is ignored.
     pub grace: Duration,
 }
 
-/// Evaluates `group`, whose current primary was first seen at `led_since`.
+/// Evaluates `group`, whose current primary was first seen at `leader_since`.
 ///
 /// A primary counts as failed only if a quorum of replicas report that they have not heard from it
-/// for `after`, so a proxy that is itself partitioned from a healthy primary does not replace it.
+/// for `max_silence`, so a proxy that is itself partitioned from a healthy primary does not replace it.
 /// A primary that this proxy reaches but a quorum of replicas does not has failed as well: it
 /// cannot commit.
 ///
@@ -50,7 +50,7 @@
 /// turn.
 pub fn evaluate(
     group: &Group,
-    led_since: Option<Instant>,
+    leader_since: Option<Instant>,
     limits: Limits,
     now: Instant,
 ) -> Decision {
@@ -58,11 +58,11 @@
         return Decision::Undecided;
     }
     let recorded_at = group.stored.as_ref().map(|stored| stored.seen_at);
-    let leading_since = recorded_at.max(led_since);
+    let leading_since = recorded_at.max(leader_since);
     let past_grace = leading_since.is_none_or(|since| now.duration_since(since) >= limits.grace);
     let silent_replicas = group
         .fresh_statuses(now)
-        .filter(|(_, status)| status.role == Role::Replica && status.silence >= limits.after)
+        .filter(|(_, status)| status.role == Role::Replica && status.silence >= limits.max_silence)
         .count();
     if silent_replicas >= limits.quorum && past_grace {
         return Decision::Failed;
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -55,7 +55,6 @@
     },
 }
 
-/// The task of an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Task {
     /// Promotes a server, not counting the fenced `suspect` towards the quorum.
@@ -83,8 +82,7 @@
     leaving: Vec<SocketAddr>,
     /// The last seen log of each server.
     histories: Map<SocketAddr, History>,
-    /// The servers that count for the quorum, listed or not; stored in the record for the next
-    /// claimant.
+    /// The servers that count for the quorum, listed or not; the record names them.
     members: Vec<SocketAddr>,
     quorum: usize,
     /// The highest term in the record or on any server.
@@ -105,7 +103,6 @@
     /// When the decision last changed, or the last attempt finished.
     since: Instant,
     backoff: Backoff,
-    /// The earliest time of the next attempt.
     not_before: Instant,
     voters: Voters,
 }
@@ -128,8 +125,7 @@
         }
     }
 
-    /// Evaluates one group, whose last known primary is `last_leader`; returns an attempt if one
-    /// is due.
+    /// Evaluates one group and returns a failover attempt if one is due.
     pub fn next_attempt(
         &mut self,
         group: &bundle::Group,
@@ -142,14 +138,13 @@
         let quorum = monitor.voters.quorum(group.sync_replicas)?;
         let outdated = monitor.voters.outdated_record(view);
         let unrecorded_voter = monitor.voters.record_lacks_voter(view);
-        let after = self.config.failover.after;
+        let max_silence = self.config.failover.after;
         let limits = Limits {
             quorum,
-            after,
-            grace: after + 2 * self.config.backend.status_every,
+            max_silence,
+            grace: max_silence + 2 * self.config.backend.status_every,
         };
-        let decision =
-            decision::evaluate(view, last_leader.map(|leader| leader.since), limits, now);
+        let decision = decision::evaluate(view, last_leader.map(|l| l.since), limits, now);
         let decision = match (decision, outdated) {
             (Decision::Healthy, Some((term, server))) => Decision::Unrecorded { term, server },
             _ => decision,
@@ -166,7 +161,7 @@
         let task = match decision {
             Decision::Healthy | Decision::Undecided => return None,
             Decision::Failed | Decision::Leaving => Task::Replace {
-                suspect: last_leader.map(|leader| leader.server),
+                suspect: last_leader.map(|l| l.server),
             },
             Decision::StaleTerm => Task::Replace { suspect: None },
             Decision::Unrecorded { term, server } => Task::Record { term, server },
@@ -226,10 +221,7 @@
         quorum: usize,
         now: Instant,
     ) -> Attempt {
-        let max_on_servers = view
-            .fresh_statuses(now)
-            .map(|(_, status)| status.term)
-            .max();
+        let on_servers = view.fresh_statuses(now).map(|(_, s)| s.term).max();
         let in_record = view.stored.as_ref().map(|stored| stored.record.term);
         let leaving = view.servers.iter().filter(|server| server.leaving);
         Attempt {
@@ -240,7 +232,7 @@
             histories: voters.histories().clone(),
             members: voters.addresses(),
             quorum,
-            highest_term: max_on_servers.max(in_record).unwrap_or_default(),
+            highest_term: on_servers.max(in_record).unwrap_or_default(),
             revision: view.stored.as_ref().map_or(0, |stored| stored.revision),
             config: self.config.clone(),
             kv: self.kv.clone(),
@@ -322,8 +314,7 @@
         }
     }
 
-    /// Fences all servers at `term`; returns as soon as a quorum, not counting the suspect, has
-    /// accepted it.
+    /// Fences all servers at `term`; returns once a quorum without the suspect has accepted it.
     ///
     /// The suspect is fenced so that it steps down if it is reachable. It is not a candidate: it
     /// may have the longest log and yet reach no replica.
@@ -361,9 +352,8 @@
         history.is_some_and(|history| !history.is_continued_by(fenced.log_id, fenced.received))
     }
 
-    /// Promotes the most advanced of the fenced servers, preferring one that is not leaving among
-    /// equals. A server removed from the bundle may be the only one with a commit; it is primary
-    /// until another server has caught up and replaces it.
+    /// Promotes the most advanced of the fenced servers, among equals one that is not leaving. A
+    /// server removed from the bundle may alone have a commit: it leads until others have caught up.
     async fn promote(&self, term: u64, fenced: Vec<Fenced>) -> Result<SocketAddr, Error> {
         let best = fenced
             .into_iter()
--- a/crates/proxy/tests/decision.rs
+++ b/crates/proxy/tests/decision.rs
@@ -13,7 +13,7 @@
 
 const LIMITS: Limits = Limits {
     quorum: 2,
-    after: Duration::from_millis(300),
+    max_silence: Duration::from_millis(300),
     grace: Duration::from_millis(400),
 };
 const LONG_AGO: Duration = Duration::from_secs(60);
@@ -78,8 +78,8 @@
 /// Whether the primary, first seen `led` ago, counts as failed.
 fn failed(statuses: [Option<Status>; 3], stored: Option<StoredRecord>, led: Duration) -> bool {
     let now = Instant::now();
-    let led_since = now.checked_sub(led);
-    evaluate(&group(statuses, stored), led_since, LIMITS, now) == Decision::Failed
+    let leader_since = now.checked_sub(led);
+    evaluate(&group(statuses, stored), leader_since, LIMITS, now) == Decision::Failed
 }
 
 /// Guards against replacing a healthy primary that only this proxy, or this proxy and a single
