--- a/crates/proxy/src/control/assignment.rs
+++ b/crates/proxy/src/control/assignment.rs
@@ -107,7 +107,7 @@
     /// of a data centre leaves watchers in others, then the second ranked ones, and so on.
     pub fn watchers(&self, group: &str) -> Vec<&Member> {
         let seed = backoff::salt(&group);
-        let best = self.dcs.values().map(|dc| best(dc, seed));
+        let best = self.dcs.values().map(|dc| top_ranked(dc, seed));
         let mut ranked: Vec<(usize, Reverse<u64>, &Member)> = best
             .flat_map(|best| best.into_iter().enumerate())
             .map(|(round, (weight, entry))| (round, Reverse(weight), &entry.member))
@@ -127,7 +127,7 @@
 }
 
 /// The proxies of one data centre with the highest weights, at most [`WATCHERS_PER_GROUP`].
-fn best(dc: &[Entry], seed: u64) -> Vec<(u64, &Entry)> {
+fn top_ranked(dc: &[Entry], seed: u64) -> Vec<(u64, &Entry)> {
     let mut best: Vec<(u64, &Entry)> = Vec::with_capacity(WATCHERS_PER_GROUP + 1);
     for entry in dc {
         let weight = backoff::salt(&(seed, entry.seed));
--- a/crates/proxy/src/control/decision.rs
+++ b/crates/proxy/src/control/decision.rs
@@ -54,7 +54,7 @@
     limits: Limits,
     now: Instant,
 ) -> Decision {
-    if group.claimed(now) {
+    if group.is_claimed(now) {
         return Decision::Undecided;
     }
     let recorded_at = group.stored.as_ref().map(|stored| stored.seen_at);
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -270,7 +270,7 @@
     }
 
     /// Whether a proxy has claimed a term recently and may be about to promote a server at it.
-    pub fn claimed(&self, now: Instant) -> bool {
+    pub fn is_claimed(&self, now: Instant) -> bool {
         self.stored.as_ref().is_some_and(|stored| {
             let pending = stored.record.server.is_none();
             pending && now.duration_since(stored.seen_at) <= self.claim_limit
@@ -280,7 +280,7 @@
     /// The lowest term at which a primary may be used.
     fn min_leader_term(&self, now: Instant) -> u64 {
         match &self.stored {
-            Some(stored) if stored.record.server.is_some() || self.claimed(now) => {
+            Some(stored) if stored.record.server.is_some() || self.is_claimed(now) => {
                 stored.record.term
             }
             _ => 0,
