--- a/crates/proxy/src/control/groups.rs
+++ b/crates/proxy/src/control/groups.rs
@@ -1,5 +1,5 @@
-//! The groups of the bundle in force: their servers with pools and probes, who watches them, and the
-//! records that say who leads.
+//! The database groups of the applied bundle: their servers with pools and probes, whether this
+//! proxy watches them, and their primary records.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,47 +9,47 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use super::{duty::Member, probe::Probe, Change, Control};
+use super::{assignment::Member, probe::Probe, Change, Control};
 use crate::{
     pool,
-    view::{self, Group, Held, Server},
+    view::{self, Group, Server, StoredRecord},
 };
 
 impl Control {
-    /// Puts `bundle` in force unless it is not newer.
+    /// Applies `bundle` if its version is higher than the current one.
     ///
-    /// Failure: a watch replay or a late answer offers an older bundle, and applying it would
-    /// revert the configuration. Guard: only a strictly higher version is applied.
-    pub(super) fn apply(&mut self, bundle: Bundle) -> Change {
+    /// A replayed watch event or a delayed response can contain an older bundle, which must not
+    /// revert the configuration.
+    pub(super) fn apply_bundle(&mut self, bundle: Bundle) -> Change {
         let current = self.bundle.as_ref().map_or(0, |bundle| bundle.version);
         if bundle.version <= current {
             if bundle.version < current {
-                log::info!(target: "control", "Kept version {current}; offered {}.", bundle.version);
+                log::info!(target: "control", "Ignored bundle version {}; version {current} is applied.", bundle.version);
             }
-            return Change::Nothing;
+            return Change::Unchanged;
         }
         log::info!(target: "control", "Applied bundle version {} (was {current}).", bundle.version);
         self.bundle = Some(Arc::new(bundle));
         self.rebuild()
     }
 
-    /// Builds all groups anew from the bundle in force and the records.
+    /// Rebuilds all groups from the applied bundle and the primary records.
     fn rebuild(&mut self) -> Change {
         let Some(bundle) = self.bundle.clone() else {
-            return Change::Nothing;
+            return Change::Unchanged;
         };
         let listed = bundle.groups.values().flat_map(|group| &group.servers);
         let listed: Set<SocketAddr> = listed.copied().collect();
         let mut old = std::mem::take(&mut self.groups);
         for group in bundle.groups.values() {
-            let kept = old.remove(&group.name);
-            let built = self.build(group, kept.as_ref(), &listed);
+            let previous = old.remove(&group.name);
+            let built = self.build(group, previous.as_ref(), &listed);
             self.groups.insert(group.name.clone(), built);
         }
         self.assign()
     }
 
-    /// Starts to watch the groups that are now this proxy's to watch, and stops the others.
+    /// Starts to watch the groups assigned to this proxy and stops to watch all others.
     pub(super) fn assign(&mut self) -> Change {
         let me = Member {
             dc: self.config.dc.clone(),
@@ -67,7 +67,7 @@
             }
             for server in &group.servers {
                 let address = server.address;
-                let start = || Probe::start(address, name, &self.config, self.out.clone());
+                let start = || Probe::start(address, name, &self.config, self.tx.clone());
                 let probe = probes.remove(&address).unwrap_or_else(start);
                 self.probes.insert(address, probe);
             }
@@ -75,32 +75,43 @@
         Change::Routing
     }
 
-    /// The group's servers, with the pools and statuses of those it already had, and those that were
-    /// taken out and count.
-    fn build(&self, group: &bundle::Group, kept: Option<&Group>, taken: &Set<SocketAddr>) -> Group {
-        let held = self.records.get(&group.name).cloned();
-        let had = kept.into_iter().flat_map(|kept| &kept.servers);
-        let recorded = held.iter().flat_map(|held| &held.record.members);
-        let known: Vec<SocketAddr> = had.map(|s| s.address).chain(recorded.copied()).collect();
+    /// Builds a group. Servers that were in `previous` keep their pools and statuses. Servers of
+    /// `previous` or the record that no group lists are kept as unlisted ones, as they may still
+    /// count for the promotion quorum.
+    fn build(
+        &self,
+        group: &bundle::Group,
+        previous: Option<&Group>,
+        all_listed: &Set<SocketAddr>,
+    ) -> Group {
+        let stored = self.records.get(&group.name).cloned();
+        let previous_servers = previous.into_iter().flat_map(|previous| &previous.servers);
+        let recorded = stored.iter().flat_map(|stored| &stored.record.members);
+        let known: Vec<SocketAddr> = previous_servers
+            .map(|s| s.address)
+            .chain(recorded.copied())
+            .collect();
         let mut servers: Vec<Server> = group
             .servers
             .iter()
-            .map(|&address| self.server(address, group, kept, true))
+            .map(|&address| self.server(address, group, previous, true))
             .collect();
         for address in known {
-            let here = servers.iter().any(|server| server.address == address);
-            if !here && !taken.contains(&address) {
-                servers.push(self.server(address, group, kept, false));
+            let is_present = servers.iter().any(|server| server.address == address);
+            if !is_present && !all_listed.contains(&address) {
+                servers.push(self.server(address, group, previous, false));
             }
         }
         Group {
             servers,
-            fresh_for: view::fresh_for(self.config.backend.status_every),
+            status_ttl: view::status_ttl(self.config.backend.status_every),
             claim_limit: self.config.failover.claim_limit,
-            held,
+            stored,
             unreadable: self.unreadable.contains(&group.name),
-            watched: kept.is_some_and(|kept| kept.watched),
-            found: kept.map(|kept| kept.found.clone()).unwrap_or_default(),
+            watched: previous.is_some_and(|previous| previous.watched),
+            discovery: previous
+                .map(|previous| previous.discovery.clone())
+                .unwrap_or_default(),
         }
     }
 
@@ -108,11 +119,12 @@
         &self,
         address: SocketAddr,
         group: &bundle::Group,
-        kept: Option<&Group>,
+        previous: Option<&Group>,
         listed: bool,
     ) -> Server {
         let leaving = !listed || self.leaving.contains(&address);
-        let old = kept.and_then(|kept| kept.servers.iter().find(|s| s.address == address));
+        let old =
+            previous.and_then(|previous| previous.servers.iter().find(|s| s.address == address));
         if let Some(old) = old.filter(|old| old.pool.status().max_size == group.pool_size) {
             return Server {
                 leaving,
@@ -126,58 +138,58 @@
             status: old.map(|old| old.status.clone()).unwrap_or_default(),
             leaving,
             listed,
-            rest: old.map(|old| old.rest.clone()).unwrap_or_default(),
+            cooldown: old.map(|old| old.cooldown.clone()).unwrap_or_default(),
             superseded: CancellationToken::new(),
         }
     }
 
-    /// Takes a primary record from the KV unless it is older than the one held, and looks at
-    /// the group's servers at once.
-    pub(super) fn hold(&mut self, group: String, held: Held) -> Change {
+    /// Stores a primary record from the KV unless its revision is not newer, and polls the group's
+    /// servers immediately.
+    pub(super) fn apply_record(&mut self, group: String, stored: StoredRecord) -> Change {
         let known = self.records.get(&group);
-        if known.is_some_and(|known| held.revision <= known.revision) {
-            return Change::Nothing;
+        if known.is_some_and(|known| stored.revision <= known.revision) {
+            return Change::Unchanged;
         }
-        let held = match known {
-            Some(known) => known.or_later(held),
-            None => held,
+        let stored = match known {
+            Some(known) => known.reconcile(stored),
+            None => stored,
         };
-        let mut others = false;
+        let mut changed = false;
         if let Some(group) = self.groups.get_mut(&group) {
-            let recorded = &held.record.members;
-            let here = |address| group.servers.iter().any(|s| s.address == address);
-            others = !recorded.iter().all(|&address| here(address));
+            let recorded = &stored.record.members;
+            let is_present = |address| group.servers.iter().any(|s| s.address == address);
+            changed = !recorded.iter().all(|&address| is_present(address));
             let before = group.servers.len();
-            let counts = |s: &Server| s.listed || recorded.contains(&s.address);
-            group.servers.retain(counts);
-            others |= group.servers.len() < before;
-            group.held = Some(held.clone());
+            let is_voter = |s: &Server| s.listed || recorded.contains(&s.address);
+            group.servers.retain(is_voter);
+            changed |= group.servers.len() < before;
+            group.stored = Some(stored.clone());
         }
-        self.records.insert(group.clone(), held);
-        if others {
+        self.records.insert(group.clone(), stored);
+        if changed {
             self.rebuild();
         }
-        self.hurry(&group);
-        self.supersede();
+        self.probe_now(&group);
+        self.update_leaders();
         Change::Routing
     }
 
-    /// Notes that the KV came back from a copy: what it does not hold any more is written as if nothing had
-    /// been there.
-    pub(super) fn restore(&mut self, era: u64) -> Change {
-        log::warn!(target: "control", "The KV came back from a copy; era {era}.");
-        for (group, held) in &mut self.records {
-            held.forgotten = true;
-            held.revision = 0;
+    /// Marks all known records as lost after the KV was restored from a backup. A record that the
+    /// backup lacks is then written as a new key.
+    pub(super) fn handle_restore(&mut self, era: u64) -> Change {
+        log::warn!(target: "control", "The KV was restored from a backup; its era is now {era}.");
+        for (group, stored) in &mut self.records {
+            stored.lost_in_restore = true;
+            stored.revision = 0;
             if let Some(known) = self.groups.get_mut(group) {
-                known.held = Some(held.clone());
+                known.stored = Some(stored.clone());
             }
         }
         Change::Routing
     }
 
-    /// Notes that the KV has a record of the group that cannot be read.
-    pub(super) fn pass_over(&mut self, group: String) -> Change {
+    /// Marks the group's primary record in the KV as unparseable.
+    pub(super) fn mark_unreadable(&mut self, group: String) -> Change {
         if let Some(known) = self.groups.get_mut(&group) {
             known.unreadable = true;
         }
@@ -186,7 +198,7 @@
     }
 
     /// Marks the servers that are leaving, in every group.
-    pub(super) fn leave(&mut self, leaving: Vec<SocketAddr>) -> Change {
+    pub(super) fn mark_leaving(&mut self, leaving: Vec<SocketAddr>) -> Change {
         for server in self.groups.values_mut().flat_map(|g| &mut g.servers) {
             let leaves = !server.listed || leaving.contains(&server.address);
             if leaves && !server.leaving {
