--- a/crates/engine/src/duty.rs
+++ b/crates/engine/src/duty.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::{takeover::TURN_GAP, time::Moment};
+use crate::{takeover::PROMOTION_COOLDOWN, time::Moment};
 
 /// How long the store keeps the holder's key after its last renewal. Three renewals fit in, so a
 /// lost answer does not end it. A holder that is cut off, or dies with a primary, is replaced within
@@ -18,7 +18,7 @@
 
 /// How long before its end a lease is not relied on any more. Another process needs most of a
 /// second from the end of the lease to its own promotion, and it waits for
-/// [`TURN_GAP`] after one that this process has written down.
+/// [`PROMOTION_COOLDOWN`] after one that this process has written down.
 const MARGIN: Duration = Duration::from_millis(800);
 
 /// How long a process that has just started leaves a free duty to others: longer than those need to
@@ -37,10 +37,10 @@
 ///
 /// Failure: proxies are stopped and started in turn, and one that has just started takes the duty over
 /// from a holder that was cut off. It cannot know when a group's last promotion was, so it waits for
-/// [`TURN_GAP`] from its start, and a group whose primary was cut off with the holder has none for as
+/// [`PROMOTION_COOLDOWN`] from its start, and a group whose primary was cut off with the holder has none for as
 /// long. Guard: a process that is older than that goes first, if there is one.
 pub fn claim_after(age: Duration, feeds: bool) -> Duration {
-    let yielded = match age < TURN_GAP {
+    let yielded = match age < PROMOTION_COOLDOWN {
         true => YIELD,
         false => Duration::ZERO,
     };
--- a/crates/engine/src/fence.rs
+++ b/crates/engine/src/fence.rs
@@ -23,7 +23,7 @@
 
 /// What a member's answer to its order comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Response {
     /// It is held.
     Held,
     /// It led and has stepped down.
@@ -38,10 +38,10 @@
 
 /// How a member stands when it is asked once more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum Recheck {
     Answered(Status),
     /// It has no time to say, or cannot be reached. It may have started again or been let go.
-    Silent,
+    Unavailable,
 }
 
 /// What speaks against a promotion just before it is called for.
@@ -50,7 +50,7 @@
     /// The member is not as it was when it obeyed.
     Changed(Incarnation),
     /// Too few have said that they still are.
-    Unheard { again: usize, quorum: usize },
+    NoQuorum { confirmed: usize, quorum: usize },
 }
 
 /// The orders of one attempt and what came of them.
@@ -111,16 +111,16 @@
     /// complete; the true primary goes on acknowledging, and all of that is lost. Guard: only a server
     /// that has said itself that it leads the newest term, and after which none was promoted, proves
     /// anything by stepping down; a member that is already in the term of the attempt ends it.
-    pub fn note(&mut self, member: &Member, after: &Status) -> Heard {
+    pub fn note(&mut self, member: &Member, after: &Status) -> Response {
         if has_restarted(member, after) {
-            return Heard::Restarted;
+            return Response::Restarted;
         }
         if after.term >= self.term {
             self.superseded = true;
-            return Heard::Superseded;
+            return Response::Superseded;
         }
         if after.role != Role::Replica {
-            return Heard::Nothing;
+            return Response::Nothing;
         }
         let one = Fenced {
             id: member.id.clone(),
@@ -129,13 +129,13 @@
         };
         if self.leader.as_ref() == Some(&member.id) {
             self.stepped_down = Some(one);
-            return Heard::SteppedDown;
+            return Response::SteppedDown;
         }
         if after.held >= self.term {
             self.held.push(one);
-            return Heard::Held;
+            return Response::Held;
         }
-        Heard::Nothing
+        Response::Nothing
     }
 
     /// The server to promote, or `None` if no safe choice exists.
@@ -153,17 +153,17 @@
     /// held log does not change, so those on whom the choice rests, the chosen one among them, say once
     /// more that they are held with the same log. They are asked after the promotion was written down,
     /// so a commit that was confirmed on the word that none was is in that log.
-    pub fn recheck(&self, answers: &[(Incarnation, Again)]) -> Result<(), Objection> {
+    pub fn recheck(&self, answers: &[(Incarnation, Recheck)]) -> Result<(), Objection> {
         let choice = self.choice().map(|choice| &choice.id);
-        let mut again = 0;
+        let mut confirmed = 0;
         let mut chosen = false;
         for (id, answer) in answers {
-            let Again::Answered(status) = answer else {
+            let Recheck::Answered(status) = answer else {
                 continue;
             };
             match self.is_as_before(id, status) {
                 Some(true) => {
-                    again += 1;
+                    confirmed += 1;
                     chosen |= Some(id) == choice;
                 }
                 Some(false) => return Err(Objection::Changed(id.clone())),
@@ -171,10 +171,10 @@
             }
         }
         let needed = self.needed();
-        match chosen && again >= needed {
+        match chosen && confirmed >= needed {
             true => Ok(()),
-            false => Err(Objection::Unheard {
-                again,
+            false => Err(Objection::NoQuorum {
+                confirmed,
                 quorum: needed,
             }),
         }
--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/takeover.rs
@@ -15,7 +15,7 @@
 
 /// How long a primary may be out of sight before it is replaced. Out of sight is one whose VM does
 /// not even accept a connection in time, so slow servers are not meant.
-pub const MISSED_AFTER: Duration = Duration::from_millis(300);
+pub const UNREACHABLE_AFTER: Duration = Duration::from_millis(300);
 
 /// The longest time from a question to the moment at which it counts as unanswered. If more has
 /// passed, this process was suspended or starved in between, and knows nothing of that time.
@@ -34,7 +34,7 @@
 }
 
 /// How often the holder of the failover duty asks each server for its status.
-pub const ASK_EVERY: Duration = Duration::from_millis(250);
+pub const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long no replica may have received what the primary has written before the primary counts
 /// as cut off from them: its commits then wait for ever. Above the usual lag of 20 to 120 ms and
@@ -51,7 +51,7 @@
 
 /// Two holders may not replace the same primary shortly after each other; a holder that sees a
 /// replacement by another one waits this long, more than any lease of the duty.
-pub const TURN_GAP: Duration = Duration::from_secs(5);
+pub const PROMOTION_COOLDOWN: Duration = Duration::from_secs(5);
 
 /// How long after its call a promotion may still take effect: a second on the slowest platform, and
 /// what a call that was held up on its way takes.
@@ -107,11 +107,11 @@
 
 /// What a judgement comes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// There is a primary and nothing speaks against it.
-    Led,
+    Healthy,
     /// Too little is known, or it is too early.
-    Unsure,
+    Undecided,
     /// Replicas are held though nobody replaces their primary: they are to receive again.
     Resume,
     /// The primary `old`, if there is one, is to be replaced.
@@ -136,7 +136,7 @@
 
 /// What is remembered of one group between judgements.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct Monitor {
     /// The server that was last seen leading.
     leader: Option<Incarnation>,
     /// The highest term that any member was seen in, and when that was first heard of.
@@ -159,13 +159,13 @@
     until: Moment,
 }
 
-impl Memory {
+impl Monitor {
     /// Judges a group whose members are all of `members`.
-    pub fn judge(&mut self, members: &[Member], now: Moment) -> Verdict {
+    pub fn evaluate(&mut self, members: &[Member], now: Moment) -> Decision {
         let heard = self.hear(members, now);
         let leader = leader(members).filter(|(_, status)| status.term >= heard.0);
         if self.is_promoting(leader.map(|(_, status)| status), now) {
-            return Verdict::Unsure;
+            return Decision::Undecided;
         }
         if let Some((member, status)) = leader {
             self.leader = Some(member.id.clone());
@@ -174,7 +174,7 @@
         }
         self.ahead = None;
         if members.iter().any(|member| may_lead(member, heard)) {
-            return Verdict::Unsure;
+            return Decision::Undecided;
         }
         self.judge_leaderless(members, now)
     }
@@ -203,7 +203,7 @@
     }
 
     /// Judges a group of which no member that answers leads.
-    fn judge_leaderless(&mut self, members: &[Member], now: Moment) -> Verdict {
+    fn judge_leaderless(&mut self, members: &[Member], now: Moment) -> Decision {
         let old = self.leader.as_ref().and_then(|id| {
             let lost = |member: &&Member| matches!(member.sight, Sight::Lost { .. });
             members.iter().filter(lost).find(|member| member.id == *id)
@@ -217,8 +217,8 @@
             _ => leaderless,
         };
         let answered = members.iter().any(|member| member.status().is_some());
-        if now.since(since) < MISSED_AFTER || !answered {
-            return Verdict::Unsure;
+        if now.since(since) < UNREACHABLE_AFTER || !answered {
+            return Decision::Undecided;
         }
         let cause = match old {
             Some(_) => Cause::Missing,
@@ -226,7 +226,7 @@
         };
         // Out of sight is not the same as gone: it may lead on behind a cut.
         let old = old.map(|member| member.id.clone());
-        Verdict::Replace { old, cause }
+        Decision::Replace { old, cause }
     }
 
     fn judge_led(
@@ -235,14 +235,14 @@
         led: Status,
         members: &[Member],
         now: Moment,
-    ) -> Verdict {
+    ) -> Decision {
         let replicas = || {
             members
                 .iter()
                 .filter(|member| member.id != leader.id)
                 .filter_map(|member| Some((member, member.status()?)))
         };
-        let replace = |cause| Verdict::Replace {
+        let replace = |cause| Decision::Replace {
             old: Some(leader.id.clone()),
             cause,
         };
@@ -256,15 +256,15 @@
             // Why they receive nothing is known, and another primary would find them held as well.
             self.ahead = None;
             return match held_for >= HELD_TOO_LONG {
-                true => Verdict::Resume,
-                false => Verdict::Led,
+                true => Decision::Resume,
+                false => Decision::Healthy,
             };
         }
         let received = replicas().map(|(_, status)| status.received).max();
         if self.ahead_for(led.received, received, now) >= STALLED_AFTER && stay {
             return replace(Cause::Stalled);
         }
-        Verdict::Led
+        Decision::Healthy
     }
 
     /// For how long no replica is known to have received what the primary had. Replicas are asked
@@ -283,7 +283,7 @@
     }
 
     /// Whether the group is to be looked at more closely.
-    pub fn suspects(&self, now: Moment) -> bool {
+    pub fn is_suspect(&self, now: Moment) -> bool {
         let ahead = self
             .ahead
             .is_some_and(|(since, _)| now.since(since) > SUSPECT_AFTER);
@@ -291,7 +291,7 @@
     }
 
     /// Notes that an attempt has just ended: what was seen before it says nothing any more.
-    pub fn attempted(&mut self) {
+    pub fn note_attempt(&mut self) {
         *self = Self {
             leader: self.leader.take(),
             newest: self.newest,
@@ -301,8 +301,8 @@
     }
 
     /// Notes that the promotion of `server` to `term` was called for, whatever the answer was.
-    pub fn promoted(&mut self, server: &Incarnation, term: u64, now: Moment) {
-        self.attempted();
+    pub fn note_promotion(&mut self, server: &Incarnation, term: u64, now: Moment) {
+        self.note_attempt();
         self.leader = Some(server.clone());
         let until = now + EFFECT_LIMIT;
         self.promoting = Some(Promotion { term, until });
--- a/crates/engine/tests/control.rs
+++ b/crates/engine/tests/control.rs
@@ -7,7 +7,7 @@
     duty::{claim_after, Duty, LEASE_TTL},
     isolation::{Isolation, CERTAIN_AFTER, NOTICED_AFTER},
     registry::{Incarnation, Registry, Role, Server, RETURN_LIMIT},
-    takeover::TURN_GAP,
+    takeover::PROMOTION_COOLDOWN,
     time::Moment,
 };
 
@@ -181,7 +181,7 @@
 /// those that have run for longer claim first.
 #[test]
 fn process_that_has_just_started_claims_last() {
-    let (young, old) = (Duration::from_millis(430), TURN_GAP);
+    let (young, old) = (Duration::from_millis(430), PROMOTION_COOLDOWN);
 
     assert!(claim_after(young, true) > claim_after(old, true) + Duration::from_millis(250));
     assert_eq!(claim_after(old, true), Duration::ZERO);
--- a/crates/engine/tests/fence.rs
+++ b/crates/engine/tests/fence.rs
@@ -4,7 +4,7 @@
 
 use dandelionpitch_core::position::Position;
 use dandelionpitch_engine::{
-    fence::{Again, Fence, Heard, Objection},
+    fence::{Fence, Objection, Recheck, Response},
     registry::{Incarnation, Role},
     takeover::{Member, Sight, Status},
     time::Moment,
@@ -52,12 +52,12 @@
     let members = group();
     let mut fence = Fence::new(&members, NEWEST, None, 2);
     for replica in &members[1..] {
-        assert_eq!(fence.note(replica, &held(706)), Heard::Held);
+        assert_eq!(fence.note(replica, &held(706)), Response::Held);
     }
     fence
 }
 
-fn answers(b: Again, c: Again) -> [(Incarnation, Again); 2] {
+fn answers(b: Recheck, c: Recheck) -> [(Incarnation, Recheck); 2] {
     [("b".into(), b), ("c".into(), c)]
 }
 
@@ -78,7 +78,7 @@
     fence.note(&members[1], &held(706));
     let heard = fence.note(&members[2], &replica(705));
 
-    assert_eq!(heard, Heard::Nothing);
+    assert_eq!(heard, Response::Nothing);
     assert_eq!(fence.choice(), None);
 }
 
@@ -92,7 +92,7 @@
     let heard = fence.note(&members[0], &replica(705));
     fence.note(&members[1], &held(705));
 
-    assert_eq!(heard, Heard::SteppedDown);
+    assert_eq!(heard, Response::SteppedDown);
     assert_eq!(fence.choice().map(|one| one.id.id.as_str()), Some("b"));
 }
 
@@ -132,13 +132,13 @@
 
     let heard = fence.note(&members[0], &follows);
 
-    assert_eq!((heard, fence.choice()), (Heard::Superseded, None));
+    assert_eq!((heard, fence.choice()), (Response::Superseded, None));
 }
 
 /// Both are asked again just before the call, and are as they were.
 #[test]
 fn held_members_are_still_held() {
-    let again = Again::Answered(held(706));
+    let again = Recheck::Answered(held(706));
 
     assert_eq!(both_held().recheck(&answers(again, again)), Ok(()));
 }
@@ -153,7 +153,7 @@
         ..held(706)
     };
     for changed in [replica(706), held(707), held(3), now_led] {
-        let again = answers(Again::Answered(changed), Again::Answered(held(706)));
+        let again = answers(Recheck::Answered(changed), Recheck::Answered(held(706)));
 
         let result = both_held().recheck(&again);
 
@@ -164,12 +164,12 @@
 /// A member that does not answer may be one that started again a moment ago: it is not counted.
 #[test]
 fn silent_member_is_not_counted() {
-    let again = answers(Again::Silent, Again::Answered(held(706)));
+    let again = answers(Recheck::Unavailable, Recheck::Answered(held(706)));
 
     let result = both_held().recheck(&again);
 
-    let (again, quorum) = (1, 2);
-    assert_eq!(result, Err(Objection::Unheard { again, quorum }));
+    let (confirmed, quorum) = (1, 2);
+    assert_eq!(result, Err(Objection::NoQuorum { confirmed, quorum }));
 }
 
 /// More members are held than are needed, and the one to be promoted is the one that does not answer: it
@@ -181,10 +181,10 @@
     fence.note(&members[1], &held(705));
     fence.note(&members[2], &held(706));
 
-    let result = fence.recheck(&answers(Again::Answered(held(705)), Again::Silent));
+    let result = fence.recheck(&answers(Recheck::Answered(held(705)), Recheck::Unavailable));
 
-    let (again, quorum) = (1, 1);
-    assert_eq!(result, Err(Objection::Unheard { again, quorum }));
+    let (confirmed, quorum) = (1, 1);
+    assert_eq!(result, Err(Objection::NoQuorum { confirmed, quorum }));
 }
 
 /// The primary stepped down, one replica is held. Before the call the primary leads again: it crashed and
@@ -195,11 +195,11 @@
     let mut fence = Fence::new(&members, NEWEST, Some("a"), 2);
     fence.note(&members[0], &replica(705));
     fence.note(&members[1], &held(705));
-    let leads = Again::Answered(status(Role::Primary, 705, 0));
+    let leads = Recheck::Answered(status(Role::Primary, 705, 0));
 
     let result = fence.recheck(&[
         ("a".into(), leads),
-        ("b".into(), Again::Answered(held(705))),
+        ("b".into(), Recheck::Answered(held(705))),
     ]);
 
     assert_eq!(result, Err(Objection::Changed("a".into())));
--- a/crates/engine/tests/interleavings/attempt.rs
+++ b/crates/engine/tests/interleavings/attempt.rs
@@ -5,7 +5,7 @@
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
-    fence::{self, Again, Fence, Fenced, Heard},
+    fence::{self, Fence, Fenced, Recheck, Response},
     freshness::PROMOTION_WAIT,
     life::Life,
     registry::Incarnation,
@@ -83,7 +83,7 @@
         /// How many calls are left, all of them before the first.
         left: usize,
         asked: Vec<(u64, usize)>,
-        answers: Vec<(Incarnation, Again)>,
+        answers: Vec<(Incarnation, Recheck)>,
         until: u64,
     },
     /// A call was sent; its answer comes at `answered`, or is given up at `until`.
@@ -183,7 +183,7 @@
                         let heard =
                             match same_life(desk.lives, &member.id, &status, (answer.asked, now)) {
                                 true => self.fence.note(member, &status),
-                                false => Heard::Restarted,
+                                false => Response::Restarted,
                             };
                         desk.cluster
                             .note(|| format!("{} ordered: {heard:?}", member.id));
@@ -196,8 +196,8 @@
                 };
                 let (_, member) = asked.remove(at);
                 let again = match answer.said {
-                    Said::Status(status) => Again::Answered(status),
-                    Said::Busy => Again::Silent,
+                    Said::Status(status) => Recheck::Answered(status),
+                    Said::Busy => Recheck::Unavailable,
                 };
                 answers.push((self.members[member].id.clone(), again));
             }
--- a/crates/engine/tests/interleavings/attempt/promotion.rs
+++ b/crates/engine/tests/interleavings/attempt/promotion.rs
@@ -84,7 +84,7 @@
             .note(|| format!("recheck: {result:?} by {answers:?}"));
         match result {
             Ok(()) => self.call(desk, left),
-            Err(Objection::Unheard { .. }) if round + 1 < RECHECKS => {
+            Err(Objection::NoQuorum { .. }) if round + 1 < RECHECKS => {
                 self.recheck(desk, round + 1, left);
                 None
             }
--- a/crates/engine/tests/interleavings/promoter.rs
+++ b/crates/engine/tests/interleavings/promoter.rs
@@ -7,7 +7,7 @@
     duty::{Duty, LEASE_TTL, RENEW_EVERY},
     life::Life,
     registry::Incarnation,
-    takeover::{self, Sight, Verdict, TURN_GAP},
+    takeover::{self, Decision, Sight, PROMOTION_COOLDOWN},
 };
 
 use super::{
@@ -119,11 +119,11 @@
         watched.trying = false;
         match ended {
             Ended::Called { server, term } => {
-                watched.memory.promoted(server, *term, moment(now));
+                watched.memory.note_promotion(server, *term, moment(now));
                 watched.not_before = now + SETTLE;
             }
             Ended::NotCalled => {
-                watched.memory.attempted();
+                watched.memory.note_attempt();
                 watched.not_before = now + RETRY;
             }
         }
@@ -194,21 +194,23 @@
         watched.follow_record(&self.follower, now);
         watched.roster.update(&members, moment(now));
         watched.keep_roster(cluster, self.follower.node, self.number, token);
-        let calm = takeover::leader(&members).is_some() && !watched.memory.suspects(moment(now));
+        let calm = takeover::leader(&members).is_some() && !watched.memory.is_suspect(moment(now));
         watched.ask(cluster, self.follower.node, calm);
         watched.depose_old(&members);
         if watched.trying || now < watched.not_before {
             return;
         }
-        let old = match watched.memory.judge(&members, moment(now)) {
-            Verdict::Replace { old, .. } => old,
-            Verdict::Resume => return watched.resume_held(&members),
-            Verdict::Led | Verdict::Unsure => return,
+        let old = match watched.memory.evaluate(&members, moment(now)) {
+            Decision::Replace { old, .. } => old,
+            Decision::Resume => return watched.resume_held(&members),
+            Decision::Healthy | Decision::Undecided => return,
         };
         let noted = self.follower.recorded.as_ref();
         let ours = noted.is_none_or(|noted| {
             let (record, past) = (&noted.record, now - noted.promoted);
-            record.holder == self.number || record.promotions == 0 || past >= steps(TURN_GAP)
+            record.holder == self.number
+                || record.promotions == 0
+                || past >= steps(PROMOTION_COOLDOWN)
         });
         let watchers = watched.watchers.values_mut();
         let settled = watchers.filter_map(|watcher| watcher.cancel_resume().then_some(()));
--- a/crates/engine/tests/interleavings/promoter/watched.rs
+++ b/crates/engine/tests/interleavings/promoter/watched.rs
@@ -5,7 +5,7 @@
 use dandelionpitch_engine::{
     registry::{Entry, Incarnation, Role},
     roster::Roster,
-    takeover::{self, Member, Memory, Sight, Status, ASK_EVERY, TURN_GAP},
+    takeover::{self, Member, Monitor, Sight, Status, PROMOTION_COOLDOWN, STATUS_INTERVAL},
 };
 
 use super::super::{
@@ -67,7 +67,7 @@
 
 /// What is kept of the group while the duty is held.
 pub struct Watched {
-    pub memory: Memory,
+    pub memory: Monitor,
     pub roster: Roster,
     pub recorded: Option<Noted>,
     pub writing: Option<(u64, u64)>,
@@ -83,9 +83,9 @@
             .as_ref()
             .filter(|noted| noted.record.promotions > 0);
         Self {
-            memory: Memory::default(),
+            memory: Monitor::default(),
             roster: Roster::new(members.unwrap_or_default(), moment(now)),
-            not_before: promoted.map_or(now, |noted| noted.promoted + steps(TURN_GAP)),
+            not_before: promoted.map_or(now, |noted| noted.promoted + steps(PROMOTION_COOLDOWN)),
             recorded,
             writing: None,
             trying,
@@ -168,7 +168,7 @@
                     held: 0,
                     ..
                 }) if calm => ASK_REPLICAS_EVERY,
-                _ => steps(ASK_EVERY),
+                _ => steps(STATUS_INTERVAL),
             };
             if watcher.asked.is_some_and(|asked| now - asked < every) {
                 continue;
--- a/crates/engine/tests/interleavings/scenario.rs
+++ b/crates/engine/tests/interleavings/scenario.rs
@@ -5,9 +5,9 @@
 /// The length of a step in milliseconds. Everything happens at steps.
 pub const STEP: u64 = 25;
 
-/// How many steps a case lasts: three replacements in a row and [`TURN_GAP`] after them.
+/// How many steps a case lasts: three replacements in a row and [`PROMOTION_COOLDOWN`] after them.
 ///
-/// [`TURN_GAP`]: dandelionpitch_engine::takeover::TURN_GAP
+/// [`PROMOTION_COOLDOWN`]: dandelionpitch_engine::takeover::PROMOTION_COOLDOWN
 pub const LENGTH: u64 = 14_000 / STEP;
 
 /// A party of the network: servers first, then proxies, promoters and the store.
--- a/crates/engine/tests/takeover.rs
+++ b/crates/engine/tests/takeover.rs
@@ -7,7 +7,7 @@
     fence::{self, Fenced},
     registry::Role,
     roster::Roster,
-    takeover::{self, Cause, Member, Memory, Sight, Status, Verdict},
+    takeover::{self, Cause, Decision, Member, Monitor, Sight, Status},
     time::Moment,
 };
 use yare::parameterized;
@@ -54,8 +54,8 @@
     }
 }
 
-fn replace(old: &str, cause: Cause) -> Verdict {
-    Verdict::Replace {
+fn replace(old: &str, cause: Cause) -> Decision {
+    Decision::Replace {
         old: Some(old.into()),
         cause,
     }
@@ -65,17 +65,17 @@
 /// missed for long enough, not at the first lost answer.
 #[test]
 fn silent_primary_is_replaced_after_a_while() {
-    let mut memory = Memory::default();
-    memory.judge(
+    let mut memory = Monitor::default();
+    memory.evaluate(
         &[primary("a", 5, 0), replica("b", 5, 0), replica("c", 5, 0)],
         at(0),
     );
     let missing = [lost("a", 100), replica("b", 5, 100), replica("c", 5, 100)];
 
-    let early = memory.judge(&missing, at(300));
-    let later = memory.judge(&missing, at(600));
+    let early = memory.evaluate(&missing, at(300));
+    let later = memory.evaluate(&missing, at(600));
 
-    assert_eq!(early, Verdict::Unsure);
+    assert_eq!(early, Decision::Undecided);
     assert_eq!(later, replace("a", Cause::Missing));
 }
 
@@ -83,27 +83,27 @@
 /// and must still replace it.
 #[test]
 fn new_holder_replaces_a_primary_it_never_saw() {
-    let mut memory = Memory::default();
+    let mut memory = Monitor::default();
     let members = [lost("a", 0), replica("b", 5, 0), replica("c", 5, 0)];
 
-    memory.judge(&members, at(0));
-    let verdict = memory.judge(&members, at(600));
+    memory.evaluate(&members, at(0));
+    let verdict = memory.evaluate(&members, at(600));
 
     let cause = Cause::Leaderless;
-    assert_eq!(verdict, Verdict::Replace { old: None, cause });
+    assert_eq!(verdict, Decision::Replace { old: None, cause });
 }
 
 /// As above, and the new holder has asked everyone for the first time a while ago: it does not wait
 /// once more for what the silence already shows.
 #[test]
 fn new_holder_counts_from_the_first_unanswered_question() {
-    let mut memory = Memory::default();
+    let mut memory = Monitor::default();
     let members = [lost("a", 0), replica("b", 5, 0), replica("c", 5, 0)];
 
-    let verdict = memory.judge(&members, at(400));
+    let verdict = memory.evaluate(&members, at(400));
 
     let cause = Cause::Leaderless;
-    assert_eq!(verdict, Verdict::Replace { old: None, cause });
+    assert_eq!(verdict, Decision::Replace { old: None, cause });
 }
 
 /// The holder is suspended for two seconds between a question and its answer. On waking all its time
@@ -121,7 +121,7 @@
 /// replacing it once more would leave the next primary in the same state. They are let go.
 #[test]
 fn held_replicas_are_no_stall() {
-    let mut memory = Memory::default();
+    let mut memory = Monitor::default();
     let held = Status {
         held: 4,
         ..status(Role::Replica, 1, 466)
@@ -136,15 +136,15 @@
         ]
     };
 
-    let verdicts: Vec<Verdict> = (0..=2_600)
+    let verdicts: Vec<Decision> = (0..=2_600)
         .step_by(100)
-        .map(|millis| memory.judge(&members(millis), at(millis)))
+        .map(|millis| memory.evaluate(&members(millis), at(millis)))
         .collect();
 
     assert!(verdicts[..25]
         .iter()
-        .all(|verdict| *verdict == Verdict::Led));
-    assert_eq!(verdicts.last(), Some(&Verdict::Resume));
+        .all(|verdict| *verdict == Decision::Healthy));
+    assert_eq!(verdicts.last(), Some(&Decision::Resume));
 }
 
 /// Holders change in the middle of an attempt, several times over. Each holds the replicas for one
@@ -168,11 +168,11 @@
 /// Commits hang: the primary writes, and none of its replicas receives anything.
 #[test]
 fn primary_whose_replicas_receive_nothing_is_replaced() {
-    let mut memory = Memory::default();
-    let mut verdict = Verdict::Unsure;
+    let mut memory = Monitor::default();
+    let mut verdict = Decision::Undecided;
     for millis in (0..=1_000).step_by(100) {
         let led = primary("a", 10 + millis, millis);
-        verdict = memory.judge(
+        verdict = memory.evaluate(
             &[led, replica("b", 5, millis), replica("c", 5, millis)],
             at(millis),
         );
@@ -184,7 +184,7 @@
 /// Replicas are asked less often than the primary, so their answers are always a little older.
 #[test]
 fn replicas_that_follow_with_a_delay_are_no_stall() {
-    let mut memory = Memory::default();
+    let mut memory = Monitor::default();
     for millis in (0..=5_000).step_by(100) {
         let followed = (millis / 500) * 500;
         let members = [
@@ -193,18 +193,22 @@
             replica("c", 10 + followed, followed),
         ];
 
-        assert_eq!(memory.judge(&members, at(millis)), Verdict::Led, "{millis}");
+        assert_eq!(
+            memory.evaluate(&members, at(millis)),
+            Decision::Healthy,
+            "{millis}"
+        );
     }
 }
 
 /// The primary is to be stopped: it is replaced while it still runs.
 #[test]
 fn leaving_primary_is_replaced_at_once() {
-    let mut memory = Memory::default();
+    let mut memory = Monitor::default();
     let mut leaving = primary("a", 5, 0);
     leaving.leaving = true;
 
-    let verdict = memory.judge(&[leaving, replica("b", 5, 0)], at(0));
+    let verdict = memory.evaluate(&[leaving, replica("b", 5, 0)], at(0));
 
     assert_eq!(verdict, replace("a", Cause::Leaving));
 }
@@ -213,7 +217,7 @@
 /// primary by it would lose everything acknowledged since.
 #[test]
 fn held_replica_under_a_sound_primary_is_let_go() {
-    let mut memory = Memory::default();
+    let mut memory = Monitor::default();
     let held = Status {
         held: 3,
         ..status(Role::Replica, 1, 5)
@@ -228,10 +232,10 @@
         ]
     };
 
-    memory.judge(&members(0), at(0));
-    let verdict = memory.judge(&members(2_600), at(2_600));
+    memory.evaluate(&members(0), at(0));
+    let verdict = memory.evaluate(&members(2_600), at(2_600));
 
-    assert_eq!(verdict, Verdict::Resume);
+    assert_eq!(verdict, Decision::Resume);
 }
 
 #[parameterized(
@@ -327,7 +331,7 @@
 /// a second, and 40 commits that it had acknowledged by then were lost.
 #[test]
 fn answer_from_before_a_promotion_does_not_deny_it() {
-    let mut memory = Memory::default();
+    let mut memory = Monitor::default();
     let followed = |id, asked| {
         let mut status = status(Role::Replica, 2, 700);
         status.received = Position { term: 2, lsn: 700 };
@@ -346,10 +350,10 @@
         ]
     };
 
-    let verdicts: Vec<Verdict> = (200..=1_200)
+    let verdicts: Vec<Decision> = (200..=1_200)
         .step_by(100)
-        .map(|millis| memory.judge(&members(millis), at(millis)))
+        .map(|millis| memory.evaluate(&members(millis), at(millis)))
         .collect();
 
-    assert_eq!(verdicts, vec![Verdict::Unsure; verdicts.len()]);
+    assert_eq!(verdicts, vec![Decision::Undecided; verdicts.len()]);
 }
--- a/crates/proxy/src/line/control/attempt.rs
+++ b/crates/proxy/src/line/control/attempt.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use dandelionpitch_engine::{
-    fence::{self, Again, Fence, Fenced, Heard, Objection},
+    fence::{self, Fence, Fenced, Objection, Recheck, Response},
     freshness::PROMOTION_WAIT,
     refusal::Code,
     registry::{Entry, Incarnation},
@@ -154,20 +154,20 @@
             match fence.recheck(&answers) {
                 Ok(()) => return Ok(()),
                 Err(Objection::Changed(server)) => return Err(Stopped::Restarted { server }),
-                Err(Objection::Unheard { again, quorum }) if clock::now() >= until => {
-                    return Err(Stopped::Unheard { again, quorum });
+                Err(Objection::NoQuorum { confirmed, quorum }) if clock::now() >= until => {
+                    return Err(Stopped::Unheard { confirmed, quorum });
                 }
-                Err(Objection::Unheard { .. }) => tokio::time::sleep(ORDER_AGAIN).await,
+                Err(Objection::NoQuorum { .. }) => tokio::time::sleep(ORDER_AGAIN).await,
             }
         }
     }
 
-    async fn ask_again(&self) -> Vec<(Incarnation, Again)> {
+    async fn ask_again(&self) -> Vec<(Incarnation, Recheck)> {
         let ask = |watcher: &Rc<Watcher>| {
             let watcher = watcher.clone();
             async move {
                 let answer = watcher.order(Order::Status, RECHECK_TIMEOUT).await;
-                let again = answer.map_or(Again::Silent, Again::Answered);
+                let again = answer.map_or(Recheck::Unavailable, Recheck::Answered);
                 (watcher.server.incarnation.clone(), again)
             }
         };
@@ -229,7 +229,7 @@
     fn hear(&self, fence: &mut Fence, member: &Member, answer: Result<Status, Error>) {
         let heard = match &answer {
             Ok(status) => fence.note(member, status),
-            Err(_) => Heard::Nothing,
+            Err(_) => Response::Nothing,
         };
         journal::write(
             "ordered",
--- a/crates/proxy/src/line/control/failover.rs
+++ b/crates/proxy/src/line/control/failover.rs
@@ -7,7 +7,7 @@
 use dandelionpitch_engine::{
     registry::{Entry, Incarnation, Role},
     roster::Roster,
-    takeover::{self, Member, Memory, Sight, Status, Verdict, TURN_GAP},
+    takeover::{self, Decision, Member, Monitor, Sight, Status, PROMOTION_COOLDOWN},
     time::Moment,
 };
 use dandelionpitch_platform::backend::Order;
@@ -36,7 +36,7 @@
 
 /// What is kept of one group.
 struct Watched {
-    memory: Memory,
+    memory: Monitor,
     roster: Roster,
     /// The record in the store on which the roster rests.
     recorded: Option<Noted>,
@@ -132,16 +132,16 @@
         watched.follow_record(control, service, now);
         watched.roster.update(&members, now);
         self.keep_roster(control, service, watched);
-        let calm = takeover::leader(&members).is_some() && !watched.memory.suspects(now);
+        let calm = takeover::leader(&members).is_some() && !watched.memory.is_suspect(now);
         watchers.iter().for_each(|watcher| watcher.tick(now, calm));
         depose_old(&members, &watchers);
         if watched.trying || now < watched.not_before || control.stopping.is_cancelled() {
             return;
         }
-        let (old, cause) = match watched.memory.judge(&members, now) {
-            Verdict::Replace { old, cause } => (old, cause),
-            Verdict::Resume => return resume_held(&members, &watchers),
-            Verdict::Led | Verdict::Unsure => return,
+        let (old, cause) = match watched.memory.evaluate(&members, now) {
+            Decision::Replace { old, cause } => (old, cause),
+            Decision::Resume => return resume_held(&members, &watchers),
+            Decision::Healthy | Decision::Undecided => return,
         };
         if !turn_is_ours(control, service, now) {
             return;
@@ -187,10 +187,10 @@
             .as_ref()
             .filter(|noted| noted.record.promotions > 0);
         Self {
-            memory: Memory::default(),
+            memory: Monitor::default(),
             roster: Roster::new(members.unwrap_or_default(), now),
             // A promotion of this process's own, before it lost the duty, may still take effect.
-            not_before: promoted.map_or(now, |noted| noted.promoted + TURN_GAP),
+            not_before: promoted.map_or(now, |noted| noted.promoted + PROMOTION_COOLDOWN),
             recorded,
             writing: false,
             trying: false,
@@ -218,11 +218,11 @@
         self.trying = false;
         match ended {
             Ended::Called { server, term } => {
-                self.memory.promoted(server, *term, now);
+                self.memory.note_promotion(server, *term, now);
                 self.not_before = now + SETTLE;
             }
             Ended::NotCalled => {
-                self.memory.attempted();
+                self.memory.note_attempt();
                 self.not_before = now + RETRY;
             }
         }
@@ -292,6 +292,6 @@
     let records = control.records.borrow();
     records.get(service).is_none_or(|noted| {
         let ours = noted.record.holder == control.name;
-        ours || noted.record.promotions == 0 || now.since(noted.promoted) >= TURN_GAP
+        ours || noted.record.promotions == 0 || now.since(noted.promoted) >= PROMOTION_COOLDOWN
     })
 }
--- a/crates/proxy/src/line/control/observe.rs
+++ b/crates/proxy/src/line/control/observe.rs
@@ -12,7 +12,7 @@
     life::Life,
     refusal::Code,
     registry::{Role, Server},
-    takeover::{self, Sight, Status, ASK_EVERY},
+    takeover::{self, Sight, Status, STATUS_INTERVAL},
     time::Moment,
 };
 use dandelionpitch_platform::{
@@ -93,7 +93,7 @@
                 held: 0,
                 ..
             }) if calm => ASK_REPLICAS_EVERY,
-            _ => ASK_EVERY,
+            _ => STATUS_INTERVAL,
         };
         if self.busy.get() || now.since(self.asked.get()) < every {
             return;
--- a/crates/proxy/src/line/control/record.rs
+++ b/crates/proxy/src/line/control/record.rs
@@ -20,8 +20,8 @@
     Grown,
     #[display("{server} has started again since it was held")]
     Restarted { server: Incarnation },
-    #[display("only {again} of {quorum} say that they are still held")]
-    Unheard { again: usize, quorum: usize },
+    #[display("only {confirmed} of {quorum} say that they are still held")]
+    Unheard { confirmed: usize, quorum: usize },
     #[display("the duty is no longer held")]
     NoDuty,
     #[display("the store says that the duty is another's, or the record changed")]
