--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -16,18 +16,18 @@
 
 /// The list of servers that count for a promotion, as the proxy has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum List {
+pub enum Membership {
     /// Read from the store within [`crate::roster::LIST_HOLDS`].
     Current,
     /// Older, as the store is out of reach.
-    Old,
+    Stale,
     /// Nobody has written one yet.
     Missing,
 }
 
 /// What the store says of a group's last promotion, in answer to a question sent at `asked`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Testimony {
+pub struct Snapshot {
     pub asked: Moment,
     /// The server that was promoted last, or is about to be; `None` while none was.
     pub promoted: Option<String>,
@@ -88,7 +88,7 @@
     }
 
     /// Whether any server is known to have it.
-    pub fn is_held(&self) -> bool {
+    pub fn is_replicated(&self) -> bool {
         !self.holders.is_empty()
     }
 
@@ -102,18 +102,23 @@
     /// rolled back. Guard: the word of as many replicas as commits wait for counts only while the
     /// lease proves that no promotion can have taken effect by then. Without a lease all have to have
     /// the commit: whichever of them is promoted then has it too.
-    pub fn is_kept(&self, lease: Option<&Lease>, list: List, others: &[Incarnation]) -> bool {
+    pub fn is_durable(
+        &self,
+        lease: Option<&Lease>,
+        list: Membership,
+        others: &[Incarnation],
+    ) -> bool {
         let has = |id: &Incarnation| self.holders.iter().any(|holder| holder.id == *id);
         if !others.is_empty() && others.iter().all(has) {
             return true;
         }
-        let Some(lease) = lease.filter(|_| list == List::Current) else {
+        let Some(lease) = lease.filter(|_| list == Membership::Current) else {
             return false;
         };
         self.is_enough(|holder| holder.counts && lease.leads(holder.at))
     }
 
-    /// As [`Self::is_kept`], by the store's word, for a commit of the primary `leader`.
+    /// As [`Self::is_durable`], by the store's word, for a commit of the primary `leader`.
     ///
     /// It was asked for after servers that count had the commit. No promotion was written down by then
     /// but the primary's own, and whoever promotes asks its members once more after writing: those
@@ -122,7 +127,7 @@
     /// Failure: a server says that it has the commit after `leader` was replaced, `leader` is promoted a
     /// second time, and only then the store is asked, which names it. Guard: the server's last word is
     /// younger than [`PROMOTION_WAIT`], which lies between that and the second promotion.
-    pub fn is_witnessed(&self, testimony: &Testimony, leader: &Incarnation) -> bool {
+    pub fn is_durable_by_record(&self, testimony: &Snapshot, leader: &Incarnation) -> bool {
         let promoted = testimony.promoted.as_deref();
         let leads = promoted.is_none_or(|promoted| promoted == leader.id);
         let counts = |holder: &Holder| {
--- a/crates/engine/tests/commits.rs
+++ b/crates/engine/tests/commits.rs
@@ -4,7 +4,7 @@
 
 use dandelionpitch_core::position::Position;
 use dandelionpitch_engine::{
-    commit::{Commit, List, Testimony},
+    commit::{Commit, Membership, Snapshot},
     freshness::{Lease, Poll, PROMOTION_WAIT},
     registry::{Incarnation, Role},
     takeover::Status,
@@ -63,8 +63,8 @@
 }
 
 /// What the store says when it is asked at 30.
-fn testimony(promoted: Option<&str>) -> Testimony {
-    Testimony {
+fn testimony(promoted: Option<&str>) -> Snapshot {
+    Snapshot {
         asked: at(30),
         promoted: promoted.map(str::to_owned),
         members: ["a@1", "b@1", "c@1"].map(id).to_vec(),
@@ -74,7 +74,7 @@
 /// A caller's commit is on a replica while the lease of its primary lasts: it is kept.
 #[test]
 fn one_replica_is_enough_under_a_lease() {
-    assert!(held_by_b().is_kept(Some(&lease()), List::Current, &others()));
+    assert!(held_by_b().is_durable(Some(&lease()), Membership::Current, &others()));
 }
 
 /// The replicas were held for a promotion, so the lease ran out. The promotion takes effect, the holds
@@ -85,7 +85,7 @@
 
     commit.note(&id("b@1"), true, &received(705), at(1_200));
 
-    assert!(!commit.is_kept(Some(&lease()), List::Current, &others()));
+    assert!(!commit.is_durable(Some(&lease()), Membership::Current, &others()));
 }
 
 /// A replica that does not obey cannot be asked, so a single word began no lease: it says what a newer
@@ -97,20 +97,20 @@
     lease.confirm(poll(100, 110, 1));
 
     assert!(lease.valid(at(50)));
-    assert!(!held_by_b().is_kept(Some(&lease), List::Current, &others()));
+    assert!(!held_by_b().is_durable(Some(&lease), Membership::Current, &others()));
 }
 
 /// The primary that made the commit has been replaced: the lease is another's.
 #[test]
 fn lease_of_another_primary_proves_nothing() {
-    assert!(!held_by_b().is_kept(None, List::Current, &others()));
+    assert!(!held_by_b().is_durable(None, Membership::Current, &others()));
 }
 
 /// Without a list that is young enough the replica may be one that no promoter counts any more.
 #[test]
 fn one_replica_is_not_enough_by_an_old_list() {
-    for list in [List::Old, List::Missing] {
-        assert!(!held_by_b().is_kept(Some(&lease()), list, &others()));
+    for list in [Membership::Stale, Membership::Missing] {
+        assert!(!held_by_b().is_durable(Some(&lease()), list, &others()));
     }
 }
 
@@ -121,7 +121,7 @@
 
     commit.note(&id("c@1"), true, &received(709), at(40));
 
-    assert!(commit.is_kept(None, List::Old, &others()));
+    assert!(commit.is_durable(None, Membership::Stale, &others()));
 }
 
 /// Replica b confirms, starts again, and confirms once more in its new life. Two lives are not two
@@ -133,7 +133,7 @@
     commit.note(&id("b@2"), true, &received(705), at(900));
 
     let others = [id("b@1"), id("b@2"), id("c@1")];
-    assert!(!commit.is_kept(None, List::Current, &others));
+    assert!(!commit.is_durable(None, Membership::Current, &others));
 }
 
 /// A server that followed a newer primary may have lost the commit at the change.
@@ -145,7 +145,7 @@
 
     commit.note(&id("b@1"), true, &later, at(20));
 
-    assert!(!commit.is_held());
+    assert!(!commit.is_replicated());
 }
 
 /// Commits wait for two replicas, and b alone is known to have this one. The other may be a server that
@@ -156,8 +156,8 @@
     commit.note(&id("b@1"), true, &received(705), at(20));
     let others = ["b@1", "c@1", "d@1", "e@1"].map(id);
 
-    let by_lease = commit.is_kept(Some(&lease()), List::Current, &others);
-    let by_store = commit.is_witnessed(&testimony(None), &id("a@1"));
+    let by_lease = commit.is_durable(Some(&lease()), Membership::Current, &others);
+    let by_store = commit.is_durable_by_record(&testimony(None), &id("a@1"));
 
     assert!(!by_lease && !by_store);
 }
@@ -167,14 +167,14 @@
 #[test]
 fn store_confirms_while_nobody_else_was_promoted() {
     for promoted in [None, Some("a")] {
-        assert!(held_by_b().is_witnessed(&testimony(promoted), &id("a@1")));
+        assert!(held_by_b().is_durable_by_record(&testimony(promoted), &id("a@1")));
     }
 }
 
 /// A promotion of c has been written down: b may have been asked before it received the commit.
 #[test]
 fn store_does_not_confirm_once_another_is_promoted() {
-    assert!(!held_by_b().is_witnessed(&testimony(Some("c")), &id("a@1")));
+    assert!(!held_by_b().is_durable_by_record(&testimony(Some("c")), &id("a@1")));
 }
 
 /// The store was asked before b was known to have the commit: a promotion may have come in between.
@@ -184,7 +184,7 @@
 
     commit.note(&id("b@1"), true, &received(705), at(31));
 
-    assert!(!commit.is_witnessed(&testimony(None), &id("a@1")));
+    assert!(!commit.is_durable_by_record(&testimony(None), &id("a@1")));
 }
 
 /// A replica's answer is 250 ms late. It was asked within the promoter's wait, but may have answered
@@ -216,16 +216,16 @@
 /// store was asked. Guards against a name in the store that stands for the primary's second time.
 #[test]
 fn word_from_before_the_wait_of_a_promotion_is_no_witness() {
-    let late = |millis| Testimony {
+    let late = |millis| Snapshot {
         asked: at(millis),
         ..testimony(Some("a"))
     };
     let mut commit = held_by_b();
     let wait = PROMOTION_WAIT.as_millis() as u64;
 
-    let stale = commit.is_witnessed(&late(20 + wait), &id("a@1"));
+    let stale = commit.is_durable_by_record(&late(20 + wait), &id("a@1"));
     commit.note(&id("b@1"), true, &received(705), at(600));
-    let again = commit.is_witnessed(&late(10 + wait + 60), &id("a@1"));
+    let again = commit.is_durable_by_record(&late(10 + wait + 60), &id("a@1"));
 
     assert!(!stale && again);
 }
--- a/crates/engine/tests/interleavings/cluster.rs
+++ b/crates/engine/tests/interleavings/cluster.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dandelionpitch_core::hash;
-use dandelionpitch_engine::{commit::Testimony, registry::Role, time::Moment};
+use dandelionpitch_engine::{commit::Snapshot, registry::Role, time::Moment};
 
 use super::{
     mail::{Answer, Asker, Mail, Record, Said, Store},
@@ -320,7 +320,7 @@
         if !self.reach(from.node, STORE) {
             return;
         }
-        let testimony = self.store.record.as_ref().map(|(_, record)| Testimony {
+        let testimony = self.store.record.as_ref().map(|(_, record)| Snapshot {
             asked: moment(asked),
             promoted: record.server.clone(),
             members: record.members.clone(),
--- a/crates/engine/tests/interleavings/mail.rs
+++ b/crates/engine/tests/interleavings/mail.rs
@@ -1,7 +1,7 @@
 //! What is on its way between the parties, and what the store holds.
 
 use dandelionpitch_core::{hash::Map, position::Position};
-use dandelionpitch_engine::{commit::Testimony, registry::Incarnation, takeover::Status};
+use dandelionpitch_engine::{commit::Snapshot, registry::Incarnation, takeover::Status};
 
 use super::{
     scenario::Node,
@@ -94,7 +94,7 @@
     },
     Testified {
         to: Asker,
-        testimony: Option<Testimony>,
+        testimony: Option<Snapshot>,
     },
     Effect {
         server: usize,
--- a/crates/engine/tests/interleavings/proxy.rs
+++ b/crates/engine/tests/interleavings/proxy.rs
@@ -6,7 +6,7 @@
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
-    commit::{Commit, List},
+    commit::{Commit, Membership},
     freshness::{self, Lease, Poll, Word},
     registry::{Entry as Registered, Incarnation, Role},
     roster::LIST_HOLDS,
@@ -172,12 +172,12 @@
         self.follower.entries().len().saturating_sub(1)
     }
 
-    fn list(&self, now: u64) -> List {
+    fn list(&self, now: u64) -> Membership {
         let age = moment(now).since(moment(self.follower.followed));
         match (self.counted().is_some(), age < LIST_HOLDS) {
-            (false, _) => List::Missing,
-            (true, true) => List::Current,
-            (true, false) => List::Old,
+            (false, _) => Membership::Missing,
+            (true, true) => Membership::Current,
+            (true, false) => Membership::Stale,
         }
     }
 
@@ -203,7 +203,7 @@
 
     fn proves(&self, primary: &Incarnation, commit: &Commit, now: u64) -> bool {
         let lease = self.leads(primary, commit).then_some(&self.lease);
-        commit.is_kept(lease, self.list(now), &self.beside(primary))
+        commit.is_durable(lease, self.list(now), &self.beside(primary))
     }
 
     /// Whether `primary` is known as the primary of the commit's term.
--- a/crates/engine/tests/interleavings/proxy/proof.rs
+++ b/crates/engine/tests/interleavings/proxy/proof.rs
@@ -1,7 +1,7 @@
 //! How a proxy finds out that a commit is kept.
 
 use dandelionpitch_engine::{
-    commit::{Commit, List, Testimony},
+    commit::{Commit, Membership, Snapshot},
     freshness::{self, Word},
     registry::Incarnation,
 };
@@ -99,7 +99,7 @@
         let now = cluster.now;
         let mut replicas = self.follower.entries();
         replicas.retain(|entry| entry.server.incarnation != *primary);
-        let hedge = match self.lease.leads(moment(now)) && self.list(now) == List::Current {
+        let hedge = match self.lease.leads(moment(now)) && self.list(now) == Membership::Current {
             true => {
                 replicas.retain(|entry| self.vouches(&entry.server.incarnation));
                 let first = cluster.draw(replicas.len().max(1) as u64) as usize;
@@ -145,7 +145,7 @@
             if self.proves(&pending.primary, &pending.commit, cluster.now) {
                 return cluster.report(self.number, pending.entry, "lease or all");
             }
-            if pending.commit.is_held() {
+            if pending.commit.is_replicated() {
                 round.ends = round.ends.min(cluster.now + LATE_ANSWER);
             }
         }
@@ -157,7 +157,7 @@
         if self.proves(&pending.primary, &pending.commit, now) {
             return cluster.report(self.number, pending.entry, "lease after the round");
         }
-        pending.stage = match (pending.commit.is_held(), self.flying) {
+        pending.stage = match (pending.commit.is_replicated(), self.flying) {
             (false, _) => Stage::Pausing { until: now + 1 },
             (true, true) => Stage::Joining,
             (true, false) => {
@@ -192,7 +192,7 @@
         &mut self,
         cluster: &mut Cluster,
         to: Asker,
-        testimony: Option<&Testimony>,
+        testimony: Option<&Snapshot>,
     ) {
         let asked_for = |pending: &Pending| matches!(pending.stage, Stage::Storing { tag, .. } if tag == to.tag);
         let Some(at) = self.pending.iter().position(asked_for) else {
@@ -203,8 +203,8 @@
             return;
         };
         let leads = self.leads(&pending.primary, &pending.commit);
-        let witnessed =
-            leads && testimony.is_some_and(|t| pending.commit.is_witnessed(t, &pending.primary));
+        let witnessed = leads
+            && testimony.is_some_and(|t| pending.commit.is_durable_by_record(t, &pending.primary));
         if let (true, Some(obeyed)) = (witnessed, obeyed) {
             self.lease.witnessed(moment(obeyed));
         }
--- a/crates/proxy/src/line/control/testify.rs
+++ b/crates/proxy/src/line/control/testify.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use dandelionpitch_engine::commit::Testimony;
+use dandelionpitch_engine::commit::Snapshot;
 use tokio::sync::mpsc;
 
 use crate::line::{
@@ -28,7 +28,7 @@
     let _ = inquiry.answer.send(testimony);
 }
 
-async fn testimony(control: &Control, service: &str) -> Option<Testimony> {
+async fn testimony(control: &Control, service: &str) -> Option<Snapshot> {
     let asked = clock::now();
     let key = format!("{RECORDS}{service}");
     let item = match control.store().get(&key).await {
@@ -44,7 +44,7 @@
     if !record.is_of(item.revision) {
         return None;
     }
-    Some(Testimony {
+    Some(Snapshot {
         asked,
         promoted: record.promoted().map(str::to_owned),
         members: record.members,
--- a/crates/proxy/src/line/group/kept.rs
+++ b/crates/proxy/src/line/group/kept.rs
@@ -7,7 +7,7 @@
 
 use dandelionpitch_core::position::Position;
 use dandelionpitch_engine::{
-    commit::{Commit, List},
+    commit::{Commit, Membership},
     freshness::{self, Poll, Word},
     registry::Incarnation,
     takeover::Status,
@@ -43,7 +43,7 @@
     ///
     /// Failure: a primary acknowledges a commit on the word of a replica that no promoter knows of, or
     /// that received it only when a promotion had taken effect; the server that is promoted lacks what
-    /// callers were told is kept. Guard: [`Commit::is_kept`], at the cost of one question a commit.
+    /// callers were told is kept. Guard: [`Commit::is_durable`], at the cost of one question a commit.
     pub async fn is_kept(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
@@ -80,13 +80,13 @@
     /// gone: no proof can come, and every commit would end with an unknown outcome at its deadline, which
     /// its caller may not repeat.
     pub fn can_confirm(&self) -> bool {
-        self.sync_replicas.get() == 0 || self.list() == List::Current || self.unseen() == 0
+        self.sync_replicas.get() == 0 || self.list() == Membership::Current || self.unseen() == 0
     }
 
     /// Whether a commit of `backend` is proved to be kept by what is known so far.
     fn is_proved(&self, backend: &Rc<Backend>, commit: &Commit) -> bool {
         let lease = self.leads(backend, commit).then(|| self.lease.get());
-        commit.is_kept(lease.as_ref(), self.list(), &self.others(backend))
+        commit.is_durable(lease.as_ref(), self.list(), &self.others(backend))
     }
 
     /// Whether `backend` is known as the primary of the commit's term.
@@ -102,7 +102,7 @@
             return true;
         }
         let obeyed = (obey >= self.sync_replicas.get()).then_some(asked);
-        commit.is_held() && self.ask_store(backend, commit, obeyed).await
+        commit.is_replicated() && self.ask_store(backend, commit, obeyed).await
     }
 
     /// Asks the replicas whether they have the commit: one after the other while one is enough, else
@@ -116,7 +116,7 @@
         let mut replicas = self.servers();
         replicas.retain(|replica| !Rc::ptr_eq(replica, backend));
         let vouching = replicas.iter().filter(|replica| replica.vouches()).count();
-        let proved = self.lease.get().leads(asked) && self.list() == List::Current;
+        let proved = self.lease.get().leads(asked) && self.list() == Membership::Current;
         let hedge = match proved && vouching >= self.sync_replicas.get() {
             true => {
                 replicas.retain(|replica| replica.vouches());
@@ -141,7 +141,7 @@
             if self.is_proved(backend, commit) {
                 break;
             }
-            if commit.is_held() {
+            if commit.is_replicated() {
                 patience = LATE_ANSWER;
             }
         }
@@ -193,7 +193,8 @@
             return false;
         };
         let leader = &backend.server.incarnation;
-        let witnessed = self.leads(backend, commit) && commit.is_witnessed(&testimony, leader);
+        let witnessed =
+            self.leads(backend, commit) && commit.is_durable_by_record(&testimony, leader);
         journal::write(
             "testimony",
             json!({ "service": self.name, "server": leader, "promoted": testimony.promoted,
@@ -208,14 +209,14 @@
     }
 
     /// What the list of servers that count is worth.
-    fn list(&self) -> List {
+    fn list(&self) -> Membership {
         match (
             self.counted.borrow().is_some(),
             self.records.are_current(clock::now()),
         ) {
-            (false, _) => List::Missing,
-            (true, true) => List::Current,
-            (true, false) => List::Old,
+            (false, _) => Membership::Missing,
+            (true, true) => Membership::Current,
+            (true, false) => Membership::Stale,
         }
     }
 
--- a/crates/proxy/src/line/records.rs
+++ b/crates/proxy/src/line/records.rs
@@ -9,14 +9,14 @@
     time::Duration,
 };
 
-use dandelionpitch_engine::{commit::Testimony, roster::LIST_HOLDS, time::Moment};
+use dandelionpitch_engine::{commit::Snapshot, roster::LIST_HOLDS, time::Moment};
 use tokio::sync::{mpsc, oneshot};
 
 /// A question about a group's record.
 pub struct Inquiry {
     pub service: String,
     /// `None` if the store did not answer or has no record.
-    pub answer: oneshot::Sender<Option<Testimony>>,
+    pub answer: oneshot::Sender<Option<Snapshot>>,
 }
 
 /// The end at which traffic asks.
@@ -61,7 +61,7 @@
     }
 
     /// Asks the store for a group's record.
-    pub async fn testimony(&self, service: &str) -> Option<Testimony> {
+    pub async fn testimony(&self, service: &str) -> Option<Snapshot> {
         let (answer, answered) = oneshot::channel();
         let service = service.to_owned();
         // Either end is gone only when the process ends; then there is nothing to say.
