--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -115,7 +115,7 @@
         let Some(lease) = lease.filter(|_| list == Membership::Current) else {
             return false;
         };
-        self.is_enough(|holder| holder.counts && lease.leads(holder.at))
+        self.is_enough(|holder| holder.counts && lease.excludes_promotion(holder.at))
     }
 
     /// As [`Self::is_durable`], by the store's word, for a commit of the primary `leader`.
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -18,29 +18,29 @@
 /// asking a replica and its answer being made.
 pub const PROMOTION_WAIT: Duration = Duration::from_millis(550);
 
-/// Marks closer together than this replace each other: a replica's lag is not known more closely.
+/// Watermarks closer together than this replace each other: a replica's lag is not known more closely.
 const SPACING: Duration = Duration::from_millis(50);
 
-/// Marks kept: with [`SPACING`], those of six seconds, as no read may be older.
+/// Watermarks kept: with [`SPACING`], those of six seconds, as no read may be older.
 const KEPT: usize = 128;
 
 /// A primary position and the time at which it was asked for: the log up to `position` holds every
 /// commit acknowledged before `asked`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct Watermark {
     pub asked: Moment,
     pub position: Position,
 }
 
 /// The marks of one group, oldest first.
 #[derive(Clone, Debug, Default)]
-pub struct Marks {
-    marks: VecDeque<Mark>,
+pub struct Watermarks {
+    marks: VecDeque<Watermark>,
     /// The end of the primary's log when it said that it leads.
     led: Option<Position>,
 }
 
-impl Marks {
+impl Watermarks {
     /// Notes a position of the primary's log, asked for while its lease was valid.
     ///
     /// A position of a later term drops the earlier marks: the primary's log may have ended in
@@ -50,7 +50,7 @@
     /// position, asked for while the lease still held; taken for a mark, it lets reads miss
     /// everything. Guard: a log does not get shorter within a term, so a lower position than the last
     /// one is not the primary's.
-    pub fn note(&mut self, mark: Mark) {
+    pub fn note(&mut self, mark: Watermark) {
         if let Some(last) = self.marks.back().copied() {
             let lower = mark.position < last.position && mark.asked >= last.asked;
             if lower || mark.position.term < last.position.term {
@@ -76,12 +76,12 @@
     }
 
     /// The lowest position that holds every commit acknowledged before `since`.
-    pub fn floor(&self, since: Moment) -> Option<Mark> {
+    pub fn floor(&self, since: Moment) -> Option<Watermark> {
         self.marks.iter().find(|mark| mark.asked >= since).copied()
     }
 
     /// Notes the end of a server's log as it said that it leads.
-    pub fn lead(&mut self, position: Position) {
+    pub fn note_leader_position(&mut self, position: Position) {
         self.led = Some(position);
     }
 
@@ -90,12 +90,12 @@
     /// Failure: the primary starts again under its id with an empty log. Nobody else leads, so its lease
     /// still holds, and a read on a new connection to it finds nothing. Guard: reads that must see
     /// every commit run only on a log that goes up to this position, which an empty one does not.
-    pub fn reached(&self) -> Option<Position> {
+    pub fn newest_position(&self) -> Option<Position> {
         self.newest().map(|mark| mark.position).max(self.led)
     }
 
     /// The newest mark.
-    pub fn newest(&self) -> Option<Mark> {
+    pub fn newest(&self) -> Option<Watermark> {
         self.marks.back().copied()
     }
 }
@@ -110,11 +110,11 @@
     /// When the last of the answers came.
     pub answered: Moment,
     /// How many obey it.
-    pub obey: usize,
+    pub followers: usize,
     /// How many members there are besides it.
     pub others: usize,
     /// How many more count for a promotion that are not registered: one of them may have been promoted.
-    pub unseen: usize,
+    pub unregistered: usize,
     /// How many replicas a commit of the group waits for.
     pub sync_replicas: usize,
 }
@@ -122,20 +122,20 @@
 impl Poll {
     /// Whether all others obey: none was promoted before, and none is held for a promotion.
     fn is_complete(&self) -> bool {
-        self.obey == self.others && self.unseen == 0
+        self.followers == self.others && self.unregistered == 0
     }
 
     /// Whether one of those that obey would be held if a promotion were under way: a promoter holds
     /// all but `sync_replicas` members, and the primary is one of the rest.
     fn meets_promoter(&self) -> bool {
-        self.obey >= self.sync_replicas.max(1)
+        self.followers >= self.sync_replicas.max(1)
     }
 
     /// Whether one of those that obey would have received whatever a newer primary acknowledged
     /// before: it needs `sync_replicas` members besides itself.
     fn meets_commits(&self) -> bool {
-        let others = self.others + self.unseen;
-        self.obey >= others.saturating_sub(self.sync_replicas).max(1)
+        let others = self.others + self.unregistered;
+        self.followers >= others.saturating_sub(self.sync_replicas).max(1)
     }
 }
 
@@ -159,7 +159,7 @@
 impl Lease {
     /// Takes a poll in which no member spoke for another primary.
     pub fn confirm(&mut self, poll: Poll) {
-        let renews = self.renewable(poll.answered) && poll.meets_promoter();
+        let renews = self.is_renewable(poll.answered) && poll.meets_promoter();
         if poll.is_complete() || renews {
             self.renewed = self.renewed.max(Some(poll.asked));
             self.until = self.until.max(Some(poll.asked + LEADER_LEASE));
@@ -173,31 +173,31 @@
     ///
     /// A promoter writes a promotion down before it asks its members once more and calls for it, so
     /// one that comes now has yet to hold that replica, for [`PROMOTION_WAIT`].
-    pub fn witnessed(&mut self, obeyed: Moment) {
+    pub fn renew_from_record(&mut self, obeyed: Moment) {
         self.renewed = self.renewed.max(Some(obeyed));
         self.until = self.until.max(Some(obeyed + LEADER_LEASE));
     }
 
     /// Whether a poll answered at `answered` needs only some of the members.
-    pub fn renewable(&self, answered: Moment) -> bool {
+    pub fn is_renewable(&self, answered: Moment) -> bool {
         self.renewed
             .is_some_and(|renewed| answered < renewed + PROMOTION_WAIT)
     }
 
     /// Whether a read that came at `at` misses nothing on the primary.
-    pub fn valid(&self, at: Moment) -> bool {
+    pub fn covers(&self, at: Moment) -> bool {
         self.until.is_some_and(|until| at <= until)
     }
 
-    /// Whether no promotion can have taken effect by `at`. Unlike [`Self::valid`] this needs the lease
+    /// Whether no promotion can have taken effect by `at`. Unlike [`Self::covers`] this needs the lease
     /// itself: a single replica's word says only what a newer primary has acknowledged by then.
-    pub fn leads(&self, at: Moment) -> bool {
+    pub fn excludes_promotion(&self, at: Moment) -> bool {
         self.renewed
             .is_some_and(|renewed| at <= renewed + LEADER_LEASE)
     }
 
     /// Whether the lease is to be renewed before a read has to wait for it.
-    pub fn runs_out(&self, now: Moment) -> bool {
+    pub fn needs_renewal(&self, now: Moment) -> bool {
         self.renewed
             .is_some_and(|renewed| now.since(renewed) > LEADER_LEASE / 2)
     }
@@ -212,26 +212,26 @@
 /// A commit that a caller was told of is on its primary and on `sync_replicas` more of those that
 /// count. So if no more than `sync_replicas` of them stay silent, one that answered has it, whoever
 /// leads; the highest position among the answers covers every such commit.
-pub fn surveyed(
+pub fn quorum_watermark(
     asked: Moment,
     received: &[Position],
     counted: usize,
     sync_replicas: usize,
-) -> Option<Mark> {
+) -> Option<Watermark> {
     let enough = sync_replicas > 0 && received.len() + sync_replicas >= counted;
     let position = received.iter().copied().max().filter(|_| enough)?;
-    Some(Mark { asked, position })
+    Some(Watermark { asked, position })
 }
 
 /// What a server's word says about a primary of `term`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Relation {
     /// It is a replica that follows this primary.
-    Obeys,
+    Follows,
     /// It follows, or is held for, a later term: the primary is or will be superseded.
     Supersedes,
     /// It has not heard of this primary, so it says nothing about it.
-    Nothing,
+    Unrelated,
 }
 
 /// Reads the status of a server other than the primary.
@@ -239,18 +239,18 @@
 /// Failure: a server that was cut off comes back in its old term; taken for a follower it would
 /// confirm a primary that it does not know, taken for a rival it would cost the true primary its
 /// lease. Guard: only a replica of the very same term speaks for it.
-pub fn word(status: &Status, term: u64) -> Word {
+pub fn relation(status: &Status, term: u64) -> Relation {
     if status.term > term || status.held > term {
-        return Word::Supersedes;
+        return Relation::Supersedes;
     }
     match status.role == Role::Replica && status.term == term {
-        true => Word::Obeys,
-        false => Word::Nothing,
+        true => Relation::Follows,
+        false => Relation::Unrelated,
     }
 }
 
 /// What a read must see to be served.
-pub fn required(since: Moment, marks: &Marks, own: Option<Position>) -> Option<Position> {
+pub fn required(since: Moment, marks: &Watermarks, own: Option<Position>) -> Option<Position> {
     let mark = marks.floor(since)?;
     Some(own.map_or(mark.position, |own| own.max(mark.position)))
 }
--- a/crates/engine/tests/commits.rs
+++ b/crates/engine/tests/commits.rs
@@ -33,13 +33,13 @@
     }
 }
 
-fn poll(asked: u64, answered: u64, obey: usize) -> Poll {
+fn poll(asked: u64, answered: u64, followers: usize) -> Poll {
     Poll {
         asked: at(asked),
         answered: at(answered),
-        obey,
+        followers,
         others: 2,
-        unseen: 0,
+        unregistered: 0,
         sync_replicas: 1,
     }
 }
@@ -96,7 +96,7 @@
 
     lease.confirm(poll(100, 110, 1));
 
-    assert!(lease.valid(at(50)));
+    assert!(lease.covers(at(50)));
     assert!(!held_by_b().is_durable(Some(&lease), Membership::Current, &others()));
 }
 
@@ -195,7 +195,7 @@
 
     lease.confirm(poll(545, 800, 1));
 
-    assert!(!lease.leads(at(810)));
+    assert!(!lease.excludes_promotion(at(810)));
 }
 
 /// A server counts for a promotion that is not registered any more. All that can be asked obey, but that
@@ -205,11 +205,11 @@
     let mut lease = Lease::default();
 
     lease.confirm(Poll {
-        unseen: 1,
+        unregistered: 1,
         ..poll(0, 10, 2)
     });
 
-    assert!(!lease.leads(at(20)));
+    assert!(!lease.excludes_promotion(at(20)));
 }
 
 /// b confirmed the commit, then b followed another primary, and the first was promoted again before the
--- a/crates/engine/tests/freshness.rs
+++ b/crates/engine/tests/freshness.rs
@@ -4,7 +4,7 @@
 
 use dandelionpitch_core::position::Position;
 use dandelionpitch_engine::{
-    freshness::{self, Lease, Mark, Marks, Poll, Word, LEADER_LEASE, PROMOTION_WAIT},
+    freshness::{self, Lease, Poll, Relation, Watermark, Watermarks, LEADER_LEASE, PROMOTION_WAIT},
     registry::Role,
     takeover::Status,
     time::Moment,
@@ -19,20 +19,20 @@
     Position { term, lsn }
 }
 
-fn mark(millis: u64, term: u64, lsn: u64) -> Mark {
-    Mark {
+fn mark(millis: u64, term: u64, lsn: u64) -> Watermark {
+    Watermark {
         asked: at(millis),
         position: position(term, lsn),
     }
 }
 
 /// A group of three: two members besides the primary, one synchronous replica.
-fn poll(millis: u64, obey: usize) -> Poll {
+fn poll(millis: u64, followers: usize) -> Poll {
     Poll {
         answered: at(millis),
-        unseen: 0,
+        unregistered: 0,
         asked: at(millis),
-        obey,
+        followers,
         others: 2,
         sync_replicas: 1,
     }
@@ -51,7 +51,7 @@
 /// then is enough, and lets more replicas serve it.
 #[test]
 fn floor_is_the_oldest_mark_within_the_allowance() {
-    let mut marks = Marks::default();
+    let mut marks = Watermarks::default();
     for (millis, lsn) in [(0, 10), (100, 20), (200, 30)] {
         marks.note(mark(millis, 1, lsn));
     }
@@ -66,7 +66,7 @@
 /// are rolled back: a read that waits for them would be refused everywhere for good.
 #[test]
 fn marks_of_an_earlier_term_are_dropped() {
-    let mut marks = Marks::default();
+    let mut marks = Watermarks::default();
     marks.note(mark(0, 1, 500));
     marks.note(mark(100, 2, 450));
 
@@ -78,7 +78,7 @@
 /// The old primary answers late, after marks of the new term are known.
 #[test]
 fn mark_of_an_old_term_changes_nothing() {
-    let mut marks = Marks::default();
+    let mut marks = Watermarks::default();
     marks.note(mark(0, 2, 450));
     marks.note(mark(100, 1, 600));
 
@@ -88,7 +88,7 @@
 /// A session has committed beyond what its allowance asks for: it must see its own commit.
 #[test]
 fn own_commit_raises_the_floor() {
-    let mut marks = Marks::default();
+    let mut marks = Watermarks::default();
     marks.note(mark(0, 1, 10));
 
     let required = freshness::required(at(0), &marks, Some(position(1, 40)));
@@ -109,10 +109,10 @@
     lease.confirm(poll(promoted, 1));
 
     assert!(
-        lease.valid(at(promoted)),
+        lease.covers(at(promoted)),
         "a read that came before the question"
     );
-    assert!(!lease.valid(at(promoted + 1)), "a read that came after it");
+    assert!(!lease.covers(at(promoted + 1)), "a read that came after it");
 }
 
 /// A promoter holds the replicas for longer than the wait before it calls for the promotion, so one
@@ -126,8 +126,8 @@
     lease.confirm(poll(again, 1));
 
     let last = again + LEADER_LEASE.as_millis() as u64;
-    assert!(lease.valid(at(last)));
-    assert!(!lease.valid(at(last + 1)));
+    assert!(lease.covers(at(last)));
+    assert!(!lease.covers(at(last + 1)));
 }
 
 /// A VM is suspended with a valid lease and wakes after another server was promoted.
@@ -136,9 +136,9 @@
     let mut lease = Lease::default();
     lease.confirm(poll(0, 2));
 
-    assert!(lease.valid(at(100)));
-    assert!(!lease.valid(at(4_100)));
-    assert!(!lease.renewable(at(4_100)));
+    assert!(lease.covers(at(100)));
+    assert!(!lease.covers(at(4_100)));
+    assert!(!lease.is_renewable(at(4_100)));
 }
 
 /// Without synchronous replicas a new primary acknowledges commits alone, so nothing but the word
@@ -148,12 +148,12 @@
     let mut lease = Lease::default();
 
     lease.confirm(Poll {
-        unseen: 0,
+        unregistered: 0,
         sync_replicas: 0,
         ..poll(0, 1)
     });
 
-    assert!(!lease.valid(at(0)));
+    assert!(!lease.covers(at(0)));
 }
 
 /// A lease shorter than the promoter's wait is what the proof rests on.
@@ -163,15 +163,20 @@
 }
 
 #[parameterized(
-    follower = { Role::Replica, 3, 0, Word::Obeys },
-    held_for_a_later_term = { Role::Replica, 3, 4, Word::Supersedes },
-    follower_of_a_later_primary = { Role::Replica, 4, 0, Word::Supersedes },
-    later_primary = { Role::Primary, 4, 0, Word::Supersedes },
-    back_from_a_cut_in_an_old_term = { Role::Replica, 2, 0, Word::Nothing },
-    old_primary_back_from_a_cut = { Role::Primary, 2, 0, Word::Nothing },
+    follower = { Role::Replica, 3, 0, Relation::Follows },
+    held_for_a_later_term = { Role::Replica, 3, 4, Relation::Supersedes },
+    follower_of_a_later_primary = { Role::Replica, 4, 0, Relation::Supersedes },
+    later_primary = { Role::Primary, 4, 0, Relation::Supersedes },
+    back_from_a_cut_in_an_old_term = { Role::Replica, 2, 0, Relation::Unrelated },
+    old_primary_back_from_a_cut = { Role::Primary, 2, 0, Relation::Unrelated },
 )]
-fn word_of_a_server_about_the_primary_of_term_3(role: Role, term: u64, held: u64, expected: Word) {
-    assert_eq!(freshness::word(&status(role, term, held), 3), expected);
+fn word_of_a_server_about_the_primary_of_term_3(
+    role: Role,
+    term: u64,
+    held: u64,
+    expected: Relation,
+) {
+    assert_eq!(freshness::relation(&status(role, term, held), 3), expected);
 }
 
 /// A commit was acknowledged, and then a server says how far its log goes. In a later term the same
@@ -213,7 +218,7 @@
     sync_replicas: usize,
     expected: Option<u64>,
 ) {
-    let mark = freshness::surveyed(at(500), &lsns(received), counted, sync_replicas);
+    let mark = freshness::quorum_watermark(at(500), &lsns(received), counted, sync_replicas);
 
     let position = expected.map(|lsn| Position { term: 3, lsn });
     assert_eq!(mark.map(|mark| mark.position), position);
@@ -224,8 +229,8 @@
 /// Its position must not become what reads have to see.
 #[test]
 fn shorter_log_is_no_mark() {
-    let mut marks = Marks::default();
-    let mark = |asked, lsn| Mark {
+    let mut marks = Watermarks::default();
+    let mark = |asked, lsn| Watermark {
         asked: at(asked),
         position: Position { term: 3, lsn },
     };
@@ -241,17 +246,17 @@
 /// before any mark is noted. Guards against a read on the empty log: it must go up to what the server had.
 #[test]
 fn log_that_led_is_what_reads_must_reach() {
-    let mut marks = Marks::default();
+    let mut marks = Watermarks::default();
 
-    let unknown = marks.reached();
-    marks.lead(position(2, 40));
-    let led = marks.reached();
+    let unknown = marks.newest_position();
+    marks.note_leader_position(position(2, 40));
+    let led = marks.newest_position();
     marks.note(mark(0, 2, 41));
-    let marked = marks.reached();
-    marks.lead(position(3, 20));
+    let marked = marks.newest_position();
+    marks.note_leader_position(position(3, 20));
 
     assert_eq!(unknown, None);
     assert_eq!(led, Some(position(2, 40)));
     assert_eq!(marked, Some(position(2, 41)));
-    assert_eq!(marks.reached(), Some(position(3, 20)));
+    assert_eq!(marks.newest_position(), Some(position(3, 20)));
 }
--- a/crates/engine/tests/interleavings/proxy.rs
+++ b/crates/engine/tests/interleavings/proxy.rs
@@ -7,7 +7,7 @@
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
     commit::{Commit, Membership},
-    freshness::{self, Lease, Poll, Word},
+    freshness::{self, Lease, Poll, Relation},
     registry::{Entry as Registered, Incarnation, Role},
     roster::LIST_HOLDS,
     takeover::{self, Status},
@@ -39,7 +39,7 @@
     asked: u64,
     /// Tags of those that have yet to answer, and when they are asked.
     open: Vec<(u64, Incarnation, u64)>,
-    obey: usize,
+    followers: usize,
     /// When the round ends without another answer.
     ends: u64,
     answers: Vec<(Incarnation, Status)>,
@@ -153,7 +153,7 @@
             .map(|noted| &noted.record.members[..])
     }
 
-    fn unseen(&self) -> usize {
+    fn unregistered(&self) -> usize {
         let entries = self.follower.entries();
         let seen = |id: &&Incarnation| entries.iter().any(|e| e.server.incarnation == **id);
         let counted = self.counted().unwrap_or_default();
@@ -190,13 +190,13 @@
         !missing && self.counted().is_some_and(|ids| ids.contains(id))
     }
 
-    fn poll_of(&self, (asked, answered): (u64, u64), obey: usize) -> Poll {
+    fn poll_of(&self, (asked, answered): (u64, u64), followers: usize) -> Poll {
         Poll {
             asked: moment(asked),
             answered: moment(answered),
-            obey,
+            followers,
             others: self.others_count(),
-            unseen: self.unseen(),
+            unregistered: self.unregistered(),
             sync_replicas: SYNC_REPLICAS,
         }
     }
@@ -319,11 +319,11 @@
                 self.poll = Some(round);
             } else {
                 self.lease
-                    .confirm(self.poll_of((round.asked, cluster.now), round.obey));
+                    .confirm(self.poll_of((round.asked, cluster.now), round.followers));
             }
         } else if self.leader.is_some() && now - self.polled >= POLL_EVERY {
             let mut others = self.others();
-            if self.lease.renewable(moment(now)) {
+            if self.lease.is_renewable(moment(now)) {
                 let first = cluster.draw(others.len().max(1) as u64) as usize;
                 others.rotate_left(first);
                 others.truncate(1);
@@ -338,14 +338,14 @@
         else {
             return;
         };
-        match freshness::word(&status, term) {
-            Word::Supersedes => {
+        match freshness::relation(&status, term) {
+            Relation::Supersedes => {
                 self.poll = None;
                 self.superseded(term, &status);
             }
-            word => {
+            relation => {
                 if let Some(round) = &mut self.poll {
-                    round.obey += usize::from(word == Word::Obeys);
+                    round.followers += usize::from(relation == Relation::Follows);
                     round.ends = round.ends.min(cluster.now + LATE_ANSWER);
                 }
             }
--- a/crates/engine/tests/interleavings/proxy/proof.rs
+++ b/crates/engine/tests/interleavings/proxy/proof.rs
@@ -2,7 +2,7 @@
 
 use dandelionpitch_engine::{
     commit::{Commit, Membership, Snapshot},
-    freshness::{self, Word},
+    freshness::{self, Relation},
     registry::Incarnation,
 };
 
@@ -82,7 +82,7 @@
                 pending.stage = Stage::Asking(self.commit_round(cluster, &pending.primary));
             }
             Stage::Asking(round) if now >= round.ends || round.open.is_empty() => {
-                let obeyed = (round.obey > 0).then_some(round.asked);
+                let obeyed = (round.followers > 0).then_some(round.asked);
                 return self.round_ended(cluster, pending, obeyed);
             }
             Stage::Asking(round) => self.ask_due(cluster, round),
@@ -99,7 +99,9 @@
         let now = cluster.now;
         let mut replicas = self.follower.entries();
         replicas.retain(|entry| entry.server.incarnation != *primary);
-        let hedge = match self.lease.leads(moment(now)) && self.list(now) == Membership::Current {
+        let hedge = match self.lease.excludes_promotion(moment(now))
+            && self.list(now) == Membership::Current
+        {
             true => {
                 replicas.retain(|entry| self.vouches(&entry.server.incarnation));
                 let first = cluster.draw(replicas.len().max(1) as u64) as usize;
@@ -128,14 +130,14 @@
             .and_then(|id| Some((self.same_life(&id, said)?, id)));
         if let Some((status, id)) = status {
             if let Some((_, term)) = self.leader {
-                match freshness::word(&status, term) {
-                    Word::Obeys => {
-                        round.obey += 1;
+                match freshness::relation(&status, term) {
+                    Relation::Follows => {
+                        round.followers += 1;
                         self.lease
-                            .confirm(self.poll_of((round.asked, cluster.now), round.obey));
+                            .confirm(self.poll_of((round.asked, cluster.now), round.followers));
                     }
-                    Word::Supersedes => self.superseded(term, &status),
-                    Word::Nothing => {}
+                    Relation::Supersedes => self.superseded(term, &status),
+                    Relation::Unrelated => {}
                 }
             }
             let vouches = self.vouches(&id);
@@ -206,7 +208,7 @@
         let witnessed = leads
             && testimony.is_some_and(|t| pending.commit.is_durable_by_record(t, &pending.primary));
         if let (true, Some(obeyed)) = (witnessed, obeyed) {
-            self.lease.witnessed(moment(obeyed));
+            self.lease.renew_from_record(moment(obeyed));
         }
         pending.stage = Stage::Pausing {
             until: cluster.now + 1,
--- a/crates/engine/tests/interleavings/proxy/reads.rs
+++ b/crates/engine/tests/interleavings/proxy/reads.rs
@@ -57,7 +57,7 @@
             .reads
             .waiting
             .drain(..)
-            .partition(|since| lease.valid(moment(*since)));
+            .partition(|since| lease.covers(moment(*since)));
         self.reads.waiting = waiting;
         let covered: Vec<u64> = covered;
         for since in covered {
--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -15,7 +15,7 @@
 
 use dandelionpitch_engine::{
     catalog::Service,
-    freshness::{Lease, Mark, Marks},
+    freshness::{Lease, Watermark, Watermarks},
     ownership::{self, Holding, Room},
     placement,
     registry::{Entry, Incarnation, Role},
@@ -45,7 +45,7 @@
     pub metrics: Metrics,
     servers: RefCell<Vec<Rc<Backend>>>,
     leader: RefCell<Option<Leader>>,
-    marks: RefCell<Marks>,
+    marks: RefCell<Watermarks>,
     lease: Cell<Lease>,
     sync_replicas: Cell<usize>,
     owned: Cell<bool>,
@@ -62,7 +62,7 @@
     /// When a replica last spoke for another primary.
     denied: Cell<Moment>,
     /// The newest position of the primary whose lease was not yet confirmed.
-    unconfirmed: Cell<Option<Mark>>,
+    unconfirmed: Cell<Option<Watermark>>,
     searched: Cell<Moment>,
     search: Flight,
     confirmation: Flight,
--- a/crates/proxy/src/line/group/kept.rs
+++ b/crates/proxy/src/line/group/kept.rs
@@ -8,7 +8,7 @@
 use dandelionpitch_core::position::Position;
 use dandelionpitch_engine::{
     commit::{Commit, Membership},
-    freshness::{self, Poll, Word},
+    freshness::{self, Poll, Relation},
     registry::Incarnation,
     takeover::Status,
     time::Moment,
@@ -80,7 +80,9 @@
     /// gone: no proof can come, and every commit would end with an unknown outcome at its deadline, which
     /// its caller may not repeat.
     pub fn can_confirm(&self) -> bool {
-        self.sync_replicas.get() == 0 || self.list() == Membership::Current || self.unseen() == 0
+        self.sync_replicas.get() == 0
+            || self.list() == Membership::Current
+            || self.unregistered() == 0
     }
 
     /// Whether a commit of `backend` is proved to be kept by what is known so far.
@@ -97,11 +99,11 @@
     /// One round: asks the replicas, and the store if they have the commit and that alone is no proof.
     async fn confirm_commit(self: &Rc<Self>, backend: &Rc<Backend>, commit: &mut Commit) -> bool {
         let asked = clock::now();
-        let obey = self.ask_for_commit(backend, commit, asked).await;
+        let followers = self.ask_for_commit(backend, commit, asked).await;
         if self.is_proved(backend, commit) {
             return true;
         }
-        let obeyed = (obey >= self.sync_replicas.get()).then_some(asked);
+        let obeyed = (followers >= self.sync_replicas.get()).then_some(asked);
         commit.is_replicated() && self.ask_store(backend, commit, obeyed).await
     }
 
@@ -116,7 +118,8 @@
         let mut replicas = self.servers();
         replicas.retain(|replica| !Rc::ptr_eq(replica, backend));
         let vouching = replicas.iter().filter(|replica| replica.vouches()).count();
-        let proved = self.lease.get().leads(asked) && self.list() == Membership::Current;
+        let proved =
+            self.lease.get().excludes_promotion(asked) && self.list() == Membership::Current;
         let hedge = match proved && vouching >= self.sync_replicas.get() {
             true => {
                 replicas.retain(|replica| replica.vouches());
@@ -130,13 +133,13 @@
         };
         let ask = |(place, replica)| ask_after(hedge * place, replica);
         let mut answers: FuturesUnordered<_> = (0..).zip(&replicas).map(ask).collect();
-        let mut obey = 0;
+        let mut followers = 0;
         let mut patience = FIRST_ANSWER;
         while let Ok(Some((replica, answer))) = timeout(patience, answers.next()).await {
             // Its reason was noted where it was asked.
             let Ok(status) = answer else { continue };
             let (id, vouches) = (&replica.server.incarnation, replica.vouches());
-            obey += usize::from(self.note_word(replica, asked, obey + 1, &status));
+            followers += usize::from(self.note_word(replica, asked, followers + 1, &status));
             commit.note(id, vouches, &status, clock::now());
             if self.is_proved(backend, commit) {
                 break;
@@ -145,31 +148,31 @@
                 patience = LATE_ANSWER;
             }
         }
-        obey
+        followers
     }
 
-    /// Takes the word of a replica for the primary's lease as well: the `obey`th that obeys it of those
+    /// Takes the word of a replica for the primary's lease as well: the `followers`th that obeys it of those
     /// asked after `asked`. Returns whether it does.
     fn note_word(
         &self,
         replica: &Rc<Backend>,
         asked: Moment,
-        obey: usize,
+        followers: usize,
         status: &Status,
     ) -> bool {
         let Some(leader) = self.known_leader() else {
             return false;
         };
-        match freshness::word(status, leader.term) {
-            Word::Obeys => {
-                self.confirmed(self.poll(asked, obey));
+        match freshness::relation(status, leader.term) {
+            Relation::Follows => {
+                self.confirmed(self.poll(asked, followers));
                 true
             }
-            Word::Supersedes => {
+            Relation::Supersedes => {
                 self.superseded(&leader, replica, status);
                 false
             }
-            Word::Nothing => false,
+            Relation::Unrelated => false,
         }
     }
 
@@ -202,7 +205,7 @@
         );
         if let (true, Some(obeyed)) = (witnessed, obeyed) {
             let mut lease = self.lease.get();
-            lease.witnessed(obeyed);
+            lease.renew_from_record(obeyed);
             self.lease.set(lease);
         }
         witnessed
@@ -235,20 +238,20 @@
         others
     }
 
-    /// A poll of which `obey` obey the primary so far.
-    pub(super) fn poll(&self, asked: Moment, obey: usize) -> Poll {
+    /// A poll of which `followers` obey the primary so far.
+    pub(super) fn poll(&self, asked: Moment, followers: usize) -> Poll {
         Poll {
             asked,
             answered: clock::now(),
-            obey,
+            followers,
             others: self.servers.borrow().len().saturating_sub(1),
-            unseen: self.unseen(),
+            unregistered: self.unregistered(),
             sync_replicas: self.sync_replicas.get(),
         }
     }
 
     /// How many servers count that are not registered.
-    fn unseen(&self) -> usize {
+    fn unregistered(&self) -> usize {
         let servers = self.servers.borrow();
         let counted = self.counted.borrow();
         let registered = |id: &Incarnation| {
@@ -256,8 +259,8 @@
                 .iter()
                 .any(|backend| backend.server.incarnation == *id)
         };
-        let unseen = counted.iter().flatten().filter(|id| !registered(id));
-        unseen.count()
+        let unregistered = counted.iter().flatten().filter(|id| !registered(id));
+        unregistered.count()
     }
 }
 
--- a/crates/proxy/src/line/group/proof.rs
+++ b/crates/proxy/src/line/group/proof.rs
@@ -5,7 +5,7 @@
 
 use dandelionpitch_core::position::Position;
 use dandelionpitch_engine::{
-    freshness::{self, Mark, Poll, Word},
+    freshness::{self, Poll, Relation, Watermark},
     registry::Role,
     takeover::Status,
     time::Moment,
@@ -42,8 +42,8 @@
         // A poll that was already under way when the read came may not be enough.
         for _ in 0..3 {
             let lease = self.lease.get();
-            if lease.valid(at) {
-                if lease.runs_out(clock::now()) {
+            if lease.covers(at) {
+                if lease.needs_renewal(clock::now()) {
                     self.confirm_ahead();
                 }
                 return true;
@@ -51,7 +51,7 @@
             self.confirm_ahead();
             self.confirmation.ended.notified().await;
         }
-        self.lease.get().valid(at)
+        self.lease.get().covers(at)
     }
 
     /// Renews the lease in the background, so that the next read need not wait for it.
@@ -80,10 +80,10 @@
         let sync_replicas = self.sync_replicas.get();
         replicas.retain(|backend| !backend.avoided(asked));
         replicas.sort_by_key(|backend| backend.server.dc != self.dc);
-        if self.lease.get().renewable(asked) {
+        if self.lease.get().is_renewable(asked) {
             replicas.truncate(sync_replicas.max(1));
         }
-        let mut obey = 0;
+        let mut followers = 0;
         let mut answers: FuturesUnordered<_> = replicas
             .iter()
             .map(|replica| async move { (replica, replica.status().await) })
@@ -95,14 +95,14 @@
                 return;
             }
             let Ok(status) = answer else { continue };
-            match freshness::word(&status, leader.term) {
-                Word::Obeys => obey += 1,
-                Word::Supersedes => return self.superseded(&leader, replica, &status),
-                Word::Nothing => {}
+            match freshness::relation(&status, leader.term) {
+                Relation::Follows => followers += 1,
+                Relation::Supersedes => return self.superseded(&leader, replica, &status),
+                Relation::Unrelated => {}
             }
             patience = LATE_ANSWER;
         }
-        self.confirmed(self.poll(asked, obey));
+        self.confirmed(self.poll(asked, followers));
     }
 
     pub(super) fn superseded(&self, leader: &Leader, by: &Rc<Backend>, status: &Status) {
@@ -153,7 +153,7 @@
             self.depose(backend);
             return false;
         }
-        self.note(Mark { asked, position });
+        self.note(Watermark { asked, position });
         true
     }
 
@@ -166,11 +166,11 @@
 
     /// What the primary's log must go up to for a read that must see every commit.
     pub fn reached(&self) -> Option<Position> {
-        self.marks.borrow().reached()
+        self.marks.borrow().newest_position()
     }
 
-    fn note(&self, mark: Mark) {
-        match self.lease.get().valid(mark.asked) {
+    fn note(&self, mark: Watermark) {
+        match self.lease.get().covers(mark.asked) {
             true => self.marks.borrow_mut().note(mark),
             false => self.unconfirmed.set(Some(mark)),
         }
@@ -248,7 +248,7 @@
             return;
         };
         let sync_replicas = self.sync_replicas.get();
-        if let Some(mark) = freshness::surveyed(asked, &received, counted, sync_replicas) {
+        if let Some(mark) = freshness::quorum_watermark(asked, &received, counted, sync_replicas) {
             self.marks.borrow_mut().note(mark);
         }
     }
--- a/crates/proxy/src/line/group/search.rs
+++ b/crates/proxy/src/line/group/search.rs
@@ -106,7 +106,9 @@
         );
         self.revoke();
         self.doubted.set(false);
-        self.marks.borrow_mut().lead(status.received);
+        self.marks
+            .borrow_mut()
+            .note_leader_position(status.received);
         *self.leader.borrow_mut() = Some(Leader {
             backend: backend.clone(),
             term: status.term,
