--- a/crates/engine/src/duty.rs
+++ b/crates/engine/src/election.rs
@@ -14,7 +14,7 @@
 
 /// How often the lease is renewed; a renewal costs a tenth of a read, and only the holder makes
 /// them.
-pub const RENEW_EVERY: Duration = Duration::from_millis(400);
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long before its end a lease is not relied on any more. Another process needs most of a
 /// second from the end of the lease to its own promotion, and it waits for
@@ -39,7 +39,7 @@
 /// from a holder that was cut off. It cannot know when a group's last promotion was, so it waits for
 /// [`PROMOTION_COOLDOWN`] from its start, and a group whose primary was cut off with the holder has none for as
 /// long. Guard: a process that is older than that goes first, if there is one.
-pub fn claim_after(age: Duration, feeds: bool) -> Duration {
+pub fn claim_delay(age: Duration, feeds: bool) -> Duration {
     let yielded = match age < PROMOTION_COOLDOWN {
         true => YIELD,
         false => Duration::ZERO,
@@ -52,7 +52,7 @@
 
 /// What this process knows of the duty.
 #[derive(Clone, Debug, Default)]
-pub struct Duty {
+pub struct Election {
     /// The holder's name in the store, if its key is there.
     holder: Option<String>,
     /// This process's fencing token, while it holds the duty.
@@ -63,10 +63,10 @@
     others_until: Option<Moment>,
 }
 
-impl Duty {
+impl Election {
     /// Notes the holder's key as read from the store, or its absence. A key written by another
     /// process, or anew, ends this one's duty.
-    pub fn seen(&mut self, holder: Option<(&str, u64)>) {
+    pub fn note_holder(&mut self, holder: Option<(&str, u64)>) {
         let revision = holder.map(|(_, revision)| revision);
         if self.token.is_some() && self.token != revision {
             self.token = None;
@@ -75,12 +75,12 @@
     }
 
     /// Notes that the lease was taken or renewed by a call sent at `sent`.
-    pub fn renewed(&mut self, sent: Moment) {
+    pub fn note_renewal(&mut self, sent: Moment) {
         self.lease_until = Some(sent + LEASE_TTL);
     }
 
     /// Notes that the lease has ended.
-    pub fn lapsed(&mut self) {
+    pub fn note_expiry(&mut self) {
         self.lease_until = None;
         self.token = None;
     }
@@ -90,8 +90,8 @@
     /// Failure: the holder has not heard of it and promotes under the lease that it had, while another
     /// process finds the duty free and promotes as well. Guard: nobody claims it before such a lease
     /// has run out on the holder's own clock.
-    pub fn store_restored(&mut self, now: Moment) {
-        self.lapsed();
+    pub fn note_store_restored(&mut self, now: Moment) {
+        self.note_expiry();
         self.others_until = Some(now + LEASE_TTL);
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Notes that this process has written the holder's key at `token`.
-    pub fn won(&mut self, name: &str, token: u64) {
+    pub fn note_won(&mut self, name: &str, token: u64) {
         self.holder = Some(name.to_owned());
         self.token = Some(token);
     }
@@ -113,12 +113,12 @@
     }
 
     /// Whether the holder's key is this process's, as far as is known.
-    pub fn is_own(&self) -> bool {
+    pub fn is_elected(&self) -> bool {
         self.token.is_some()
     }
 
     /// Whether the duty is free for this process to claim.
-    pub fn is_free(&self, now: Moment) -> bool {
+    pub fn can_acquire(&self, now: Moment) -> bool {
         self.is_vacant() && self.lease_lasts(now)
     }
 
--- a/crates/engine/src/life.rs
+++ b/crates/engine/src/restart.rs
@@ -13,15 +13,15 @@
 /// Guard: what the registered life said last is kept, and an answer of another life is none, until it is
 /// registered as such.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Life {
+pub struct Detector {
     last: Option<(Status, Moment)>,
 }
 
-impl Life {
+impl Detector {
     /// Takes an answer that came by `now` to a question sent at `asked`; whether it may be of this life.
     ///
     /// Answers to questions that were under way together say nothing of each other.
-    pub fn admits(&mut self, status: &Status, asked: Moment, now: Moment) -> bool {
+    pub fn accepts(&mut self, status: &Status, asked: Moment, now: Moment) -> bool {
         let before = self.last.filter(|(_, said)| *said <= asked);
         if before.is_some_and(|(before, _)| has_restarted(&before, status)) {
             return false;
--- a/crates/engine/tests/control.rs
+++ b/crates/engine/tests/control.rs
@@ -4,7 +4,7 @@
 
 use dandelionpitch_engine::{
     catalog::Catalog,
-    duty::{claim_after, Duty, LEASE_TTL},
+    election::{claim_delay, Election, LEASE_TTL},
     isolation::{Isolation, CERTAIN_AFTER, NOTICED_AFTER},
     registry::{Incarnation, Registry, Role, Server, RETURN_LIMIT},
     takeover::PROMOTION_COOLDOWN,
@@ -142,9 +142,9 @@
 /// promoted. It must not act on its old token.
 #[test]
 fn suspended_holder_has_no_token() {
-    let mut duty = Duty::default();
-    duty.renewed(at(0));
-    duty.won("a", 7);
+    let mut duty = Election::default();
+    duty.note_renewal(at(0));
+    duty.note_won("a", 7);
 
     let before = duty.token(at(1_000));
     let after = duty.token(at(0) + LEASE_TTL);
@@ -155,25 +155,25 @@
 /// The store takes the key away without a word, and another process writes it: the first sees it.
 #[test]
 fn holder_whose_key_is_rewritten_has_no_token() {
-    let mut duty = Duty::default();
-    duty.renewed(at(0));
-    duty.won("a", 7);
+    let mut duty = Election::default();
+    duty.note_renewal(at(0));
+    duty.note_won("a", 7);
 
-    duty.seen(Some(("b", 9)));
+    duty.note_holder(Some(("b", 9)));
 
     assert_eq!(duty.token(at(100)), None);
-    assert!(!duty.is_free(at(100)));
+    assert!(!duty.can_acquire(at(100)));
 }
 
 #[test]
 fn duty_is_claimed_only_under_a_lease_that_lasts() {
-    let mut duty = Duty::default();
-    let without = duty.is_free(at(0));
-    duty.renewed(at(0));
+    let mut duty = Election::default();
+    let without = duty.can_acquire(at(0));
+    duty.note_renewal(at(0));
 
     assert!(!without);
-    assert!(duty.is_free(at(100)));
-    assert!(!duty.is_free(at(0) + LEASE_TTL));
+    assert!(duty.can_acquire(at(100)));
+    assert!(!duty.can_acquire(at(0) + LEASE_TTL));
 }
 
 /// A holder is cut off while proxies are restarted in turn. Of those that see the duty free, one that
@@ -183,8 +183,8 @@
 fn process_that_has_just_started_claims_last() {
     let (young, old) = (Duration::from_millis(430), PROMOTION_COOLDOWN);
 
-    assert!(claim_after(young, true) > claim_after(old, true) + Duration::from_millis(250));
-    assert_eq!(claim_after(old, true), Duration::ZERO);
+    assert!(claim_delay(young, true) > claim_delay(old, true) + Duration::from_millis(250));
+    assert_eq!(claim_delay(old, true), Duration::ZERO);
 }
 
 /// A data centre is cut off: its proxies send new callers away once they are sure, resting ones
@@ -237,12 +237,12 @@
 /// while the first, who has not heard of it, still relies on its lease.
 #[test]
 fn duty_is_left_alone_until_a_lost_lease_has_run_out() {
-    let mut duty = Duty::default();
-    duty.renewed(at(0));
-    duty.won("a", 7);
+    let mut duty = Election::default();
+    duty.note_renewal(at(0));
+    duty.note_won("a", 7);
 
-    duty.store_restored(at(1_000));
-    duty.seen(None);
+    duty.note_store_restored(at(1_000));
+    duty.note_holder(None);
 
     assert_eq!(duty.token(at(1_000)), None);
     assert!(!duty.may_claim(at(1_000) + LEASE_TTL - Duration::from_millis(1)));
--- a/crates/engine/tests/interleavings/attempt.rs
+++ b/crates/engine/tests/interleavings/attempt.rs
@@ -7,8 +7,8 @@
 use dandelionpitch_engine::{
     fence::{self, Fence, Fenced, Recheck, Response},
     freshness::PROMOTION_WAIT,
-    life::Life,
     registry::Incarnation,
+    restart::Detector,
     roster::Roster,
     takeover::{Member, Sight, Status},
 };
@@ -36,18 +36,18 @@
     /// The duty's token, while it is held.
     pub token: Option<u64>,
     /// What the watched lives said last.
-    pub lives: &'a mut Map<Incarnation, Life>,
+    pub lives: &'a mut Map<Incarnation, Detector>,
 }
 
 /// Whether an answer may be that of the life that was heard before; notes it if so.
 pub fn same_life(
-    lives: &mut Map<Incarnation, Life>,
+    lives: &mut Map<Incarnation, Detector>,
     id: &Incarnation,
     status: &Status,
     (asked, now): (u64, u64),
 ) -> bool {
     let life = lives.entry(id.clone()).or_default();
-    life.admits(status, moment(asked), moment(now))
+    life.accepts(status, moment(asked), moment(now))
 }
 
 impl Desk<'_> {
--- a/crates/engine/tests/interleavings/promoter.rs
+++ b/crates/engine/tests/interleavings/promoter.rs
@@ -4,9 +4,9 @@
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
-    duty::{Duty, LEASE_TTL, RENEW_EVERY},
-    life::Life,
+    election::{Election, LEASE_TTL, RENEW_INTERVAL},
     registry::Incarnation,
+    restart::Detector,
     takeover::{self, Decision, Sight, PROMOTION_COOLDOWN},
 };
 
@@ -26,11 +26,11 @@
 pub struct Promoter {
     number: usize,
     follower: Follower,
-    duty: Duty,
+    duty: Election,
     renewed: u64,
     watched: Option<Watched>,
     attempts: Vec<Attempt>,
-    lives: Map<Incarnation, Life>,
+    lives: Map<Incarnation, Detector>,
 }
 
 impl Promoter {
@@ -38,7 +38,7 @@
         Self {
             number,
             follower: Follower::new(promoter_node(number)),
-            duty: Duty::default(),
+            duty: Election::default(),
             renewed: 0,
             watched: None,
             attempts: Vec::new(),
@@ -134,7 +134,7 @@
             let seen = self.follower.duty;
             let seen = seen.map(|(holder, token)| (holder.to_string(), token));
             self.duty
-                .seen(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
+                .note_holder(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
         }
         self.keep_duty(cluster);
         self.attend(cluster, |attempt, desk| attempt.step(desk));
@@ -150,24 +150,24 @@
             return;
         }
         let until = now + steps(LEASE_TTL);
-        if self.duty.is_own() {
-            if now < self.renewed + steps(RENEW_EVERY) {
+        if self.duty.is_elected() {
+            if now < self.renewed + steps(RENEW_INTERVAL) {
                 return;
             }
             match &mut cluster.store.duty {
                 Some((holder, _, end)) if *holder == self.number => {
                     *end = until;
-                    self.duty.renewed(moment(now));
+                    self.duty.note_renewal(moment(now));
                     self.renewed = now;
                 }
-                _ => self.duty.lapsed(),
+                _ => self.duty.note_expiry(),
             }
         } else if self.duty.is_vacant() && cluster.store.duty.is_none() {
             cluster.store.revision += 1;
             let token = cluster.store.revision;
             cluster.store.duty = Some((self.number, token, until));
-            self.duty.won(&self.number.to_string(), token);
-            self.duty.renewed(moment(now));
+            self.duty.note_won(&self.number.to_string(), token);
+            self.duty.note_renewal(moment(now));
             self.renewed = now;
             cluster.note(|| format!("promoter {} takes the duty", self.number));
         }
--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -13,9 +13,9 @@
 
 use dandelionpitch_engine::{
     admission::Mean,
-    life::Life,
     placement::Candidate,
     registry::{Entry, Server},
+    restart::Detector,
     session::Values,
     takeover::Status,
     time::Moment,
@@ -74,7 +74,7 @@
     entry: RefCell<Entry>,
     /// It stands on the list of those that count for a promotion.
     pub counted: Cell<bool>,
-    life: Cell<Life>,
+    life: Cell<Detector>,
     latency: Cell<Mean>,
     avoid_until: Cell<Moment>,
     most_look: Duration,
--- a/crates/proxy/src/line/control/duty.rs
+++ b/crates/proxy/src/line/control/duty.rs
@@ -1,11 +1,11 @@
 //! Keeps the failover duty: claims it when it is free and renews its lease while it is held. Whether
-//! it is held is decided by [`engine::duty`].
+//! it is held is decided by [`engine::election`].
 //!
-//! [`engine::duty`]: dandelionpitch_engine::duty
+//! [`engine::election`]: dandelionpitch_engine::election
 
 use std::{rc::Rc, time::Duration};
 
-use dandelionpitch_engine::duty::{claim_after, LEASE_TTL, RENEW_EVERY};
+use dandelionpitch_engine::election::{claim_delay, LEASE_TTL, RENEW_INTERVAL};
 use dandelionpitch_platform::{
     store::{Change, Lease, Write},
     Error,
@@ -55,7 +55,7 @@
             }
         }
         let pause = match step(&control, &mut lease).await {
-            Ok(()) if lease.is_some() => RENEW_EVERY,
+            Ok(()) if lease.is_some() => RENEW_INTERVAL,
             Ok(()) => LOOK,
             Err(error) => {
                 control.metrics.store_error();
@@ -70,7 +70,7 @@
             () = control.stopping.cancelled(), if !stopping => {}
         }
     }
-    control.duty.borrow_mut().lapsed();
+    control.duty.borrow_mut().note_expiry();
     if let Some(lease) = lease {
         if let Err(error) = control.store().end_lease(lease).await {
             journal::trouble("duty", &error.to_string());
@@ -83,7 +83,7 @@
         Some(held) => {
             if !renew(control, held).await? {
                 journal::write("duty", json!({ "taken": false, "lease": held.id() }));
-                control.duty.borrow_mut().lapsed();
+                control.duty.borrow_mut().note_expiry();
                 *lease = None;
             }
             Ok(())
@@ -94,7 +94,7 @@
             let share = backoff::share(&(&control.name, clock::now().millis()));
             let age = clock::now().since(control.started);
             let feeds = control.place.borrow().feeds;
-            tokio::time::sleep(SPREAD.mul_f64(share) + claim_after(age, feeds)).await;
+            tokio::time::sleep(SPREAD.mul_f64(share) + claim_delay(age, feeds)).await;
             *lease = claim(control).await?;
             Ok(())
         }
@@ -104,13 +104,13 @@
 
 /// Renews the lease; `false` when it has ended or its key is another's.
 async fn renew(control: &Control, lease: Lease) -> Result<bool, Error> {
-    if !control.duty.borrow().is_own() {
+    if !control.duty.borrow().is_elected() {
         return Ok(false);
     }
     let sent = clock::now();
     let renewed = control.store().renew(lease, RENEW_LIMIT).await?;
     if renewed {
-        control.duty.borrow_mut().renewed(sent);
+        control.duty.borrow_mut().note_renewal(sent);
     }
     Ok(renewed)
 }
@@ -126,8 +126,8 @@
     let store = control.store();
     let sent = clock::now();
     let lease = store.grant(LEASE_TTL).await?;
-    control.duty.borrow_mut().renewed(sent);
-    if !control.duty.borrow().is_free(clock::now()) {
+    control.duty.borrow_mut().note_renewal(sent);
+    if !control.duty.borrow().can_acquire(clock::now()) {
         return Ok(None);
     }
     let write = Write {
@@ -146,6 +146,6 @@
     };
     let Some(token) = token else { return Ok(None) };
     journal::write("duty", json!({ "taken": true, "token": token }));
-    control.duty.borrow_mut().won(&control.name, token);
+    control.duty.borrow_mut().note_won(&control.name, token);
     Ok(Some(lease))
 }
--- a/crates/proxy/src/line/control/observe.rs
+++ b/crates/proxy/src/line/control/observe.rs
@@ -9,9 +9,9 @@
 };
 
 use dandelionpitch_engine::{
-    life::Life,
     refusal::Code,
     registry::{Role, Server},
+    restart::Detector,
     takeover::{self, Sight, Status, STATUS_INTERVAL},
     time::Moment,
 };
@@ -52,7 +52,7 @@
     answered: Cell<Moment>,
     asked: Cell<Moment>,
     busy: Cell<bool>,
-    life: Cell<Life>,
+    life: Cell<Detector>,
     /// It is being told to receive again.
     resuming: Cell<bool>,
     /// What it is to be told when it is next asked.
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -67,7 +67,7 @@
         }
     };
     match read.await {
-        Ok(None) => control.duty.borrow_mut().lapsed(),
+        Ok(None) => control.duty.borrow_mut().note_expiry(),
         Ok(Some(item)) => {
             let mut records = control.records.borrow_mut();
             item.iter()
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -11,7 +11,7 @@
 use dandelionpitch_core::hash::{Map, Set};
 use dandelionpitch_engine::{
     catalog::{Catalog, Service},
-    duty::Duty,
+    election::Election,
     era,
     feed::Place,
     members::Members,
@@ -66,7 +66,7 @@
     pub stopping: CancellationToken,
     pub store: RefCell<Store>,
     pub promoter: dandelionpitch_platform::promoter::Promoter,
-    pub duty: RefCell<Duty>,
+    pub duty: RefCell<Election>,
     /// How many primaries are being replaced by this process.
     pub attempts: Cell<usize>,
     pub registry: RefCell<Registry>,
@@ -124,7 +124,7 @@
     pub fn restore(&self, update: &Update<Value>) {
         let now = clock::now();
         journal::write("store restored", json!({ "era": era::of(update.revision) }));
-        self.duty.borrow_mut().store_restored(now);
+        self.duty.borrow_mut().note_store_restored(now);
         self.take_all(&update.changes, Registry::restore);
         for noted in self.records.borrow_mut().values_mut() {
             noted.restore(update.revision);
@@ -166,7 +166,7 @@
         let holder = holder
             .as_ref()
             .map(|(name, revision)| (name.as_str(), *revision));
-        self.duty.borrow_mut().seen(holder);
+        self.duty.borrow_mut().note_holder(holder);
         self.publish();
     }
 
@@ -203,7 +203,9 @@
             }
             Subject::Own(key) if key == DUTY => {
                 let name = String::from_utf8_lossy(&item.value);
-                self.duty.borrow_mut().seen(Some((&name, item.revision)));
+                self.duty
+                    .borrow_mut()
+                    .note_holder(Some((&name, item.revision)));
             }
             Subject::Own(key) => match entry::name(key) {
                 Some(name) => {
@@ -222,7 +224,7 @@
                 journal::write("server", json!({ "id": id, "missing": true }));
                 self.registry.borrow_mut().missing(id, now);
             }
-            Subject::Own(key) if key == DUTY => self.duty.borrow_mut().seen(None),
+            Subject::Own(key) if key == DUTY => self.duty.borrow_mut().note_holder(None),
             Subject::Own(key) => {
                 if let Some(name) = entry::name(key) {
                     self.members.borrow_mut().missing(name, now);
--- a/crates/proxy/src/line/life.rs
+++ b/crates/proxy/src/line/life.rs
@@ -2,20 +2,22 @@
 
 use std::cell::Cell;
 
-use dandelionpitch_engine::{life::Life, registry::Incarnation, takeover::Status, time::Moment};
+use dandelionpitch_engine::{
+    registry::Incarnation, restart::Detector, takeover::Status, time::Moment,
+};
 use dandelionpitch_platform::Error;
 
 use crate::line::clock;
 
 /// Takes the answer to a question sent at `asked`, if it may be of the life that is registered.
 pub fn admit(
-    life: &Cell<Life>,
+    life: &Cell<Detector>,
     server: &Incarnation,
     status: Status,
     asked: Moment,
 ) -> Result<Status, Error> {
     let mut known = life.get();
-    let same = known.admits(&status, asked, clock::now());
+    let same = known.accepts(&status, asked, clock::now());
     life.set(known);
     match same {
         true => Ok(status),
