--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/takeover.rs
@@ -1,8 +1,8 @@
 //! Whether a group's primary has to be replaced, and by which server.
 //!
-//! The proof that nothing acknowledged is lost is in `docs/DESIGN.md`, "Failover": a new primary is
-//! chosen only when no commit can be acknowledged by the old one any more, and among logs of which
-//! one certainly holds every acknowledged commit.
+//! `docs/DESIGN.md`, "Failover" proves that no acknowledged commit is lost: a new primary is chosen
+//! only once the old one can no longer acknowledge commits, and only from a set of logs at least one
+//! of which holds every acknowledged commit.
 
 use std::time::Duration;
 
@@ -13,86 +13,85 @@
     time::Moment,
 };
 
-/// How long a primary may be out of sight before it is replaced. Out of sight is one whose VM does
-/// not even accept a connection in time, so slow servers are not meant.
+/// How long a primary may be unreachable before it is replaced. A server is unreachable if its VM
+/// does not accept a connection in time; a server that only answers slowly is not.
 pub const UNREACHABLE_AFTER: Duration = Duration::from_millis(300);
 
-/// The longest time from a question to the moment at which it counts as unanswered. If more has
-/// passed, this process was suspended or starved in between, and knows nothing of that time.
-const UNANSWERED_WITHIN: Duration = Duration::from_millis(500);
+/// The longest time that a status request takes to fail. If more has passed, this process was
+/// suspended or starved of CPU meanwhile and knows nothing about that period.
+const MAX_REQUEST_AGE: Duration = Duration::from_millis(500);
 
-/// Since when a server counts as out of sight that was asked at `asked` and found lost at `now`.
+/// The start of a server's unreachable period, given a status request sent at `asked` that failed by
+/// `now`.
 ///
-/// Failure: the holder is suspended for a second between a question and its answer; it wakes, finds
-/// its time limits over and replaces a sound primary. Guard: after such a gap the time out of sight
-/// begins anew.
+/// Starts the period at `now` if this process was suspended during the request. Otherwise it would
+/// find its timeouts expired when it resumes and replace a healthy primary.
 pub fn lost_since(asked: Moment, now: Moment) -> Moment {
-    match now.since(asked) > UNANSWERED_WITHIN {
+    match now.since(asked) > MAX_REQUEST_AGE {
         true => now,
         false => asked,
     }
 }
 
-/// How often the holder of the failover duty asks each server for its status.
+/// How often the failover leader requests each server's status.
 pub const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long no replica may have received what the primary has written before the primary counts
-/// as cut off from them: its commits then wait for ever. Above the usual lag of 20 to 120 ms and
-/// the time that a stretch of slow application takes.
+/// How long replication may make no progress before the primary counts as partitioned from all its
+/// replicas: its commits would then wait forever. Longer than ordinary replication lag.
 pub const STALLED_AFTER: Duration = Duration::from_millis(900);
 
-/// How long replicas may be held under a primary that leads. An attempt of another process that
-/// ended halfway leaves them so; by then its promotion call has been given up.
-const HELD_TOO_LONG: Duration = Duration::from_millis(2_500);
+/// How long replicas may stay held while a primary leads. A failover that another process abandoned
+/// leaves them held; after this time it no longer retries its promotion call.
+const MAX_HOLD: Duration = Duration::from_millis(2_500);
 
-/// How long the same may last before the replicas are asked more often: longer than the pause
-/// between two questions to one of them in a calm group.
+/// How long replication may make no progress before replicas are polled more often: longer than the
+/// interval at which replicas of a healthy group are polled.
 const SUSPECT_AFTER: Duration = Duration::from_millis(550);
 
-/// Two holders may not replace the same primary shortly after each other; a holder that sees a
-/// replacement by another one waits this long, more than any lease of the duty.
+/// How long a failover leader waits after another process's promotion in the same group. Longer than
+/// the failover leader's lease, so that two leaders do not replace the same primary in turn.
 pub const PROMOTION_COOLDOWN: Duration = Duration::from_secs(5);
 
-/// How long after its call a promotion may still take effect: a second on the slowest platform, and
-/// what a call that was held up on its way takes.
+/// How long after its call a promotion may still take effect, including delays of the call itself.
 ///
-/// Failure: the answer to a promotion call is lost, the group is judged again, and another server is
-/// chosen; then the first promotion takes effect, ends the holds, and what its server acknowledges is
-/// lost with the second one. Guard: until the promoted server is seen leading, or this has passed,
-/// nobody else is promoted.
-const EFFECT_LIMIT: Duration = Duration::from_millis(2_500);
+/// No other server is promoted until the promoted one is seen leading or this time has passed. If the
+/// answer to the call is lost and a second server were promoted, the first promotion could take
+/// effect late and release the holds; commits that its server acknowledges would then be lost.
+const PROMOTION_EFFECT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// What a server says of itself.
+/// A server's own report of its replication state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Status {
     pub role: Role,
-    /// The term of the primary it follows or is.
+    /// The term in which the server leads, or that of the primary it follows.
     pub term: u64,
     /// The end of its log.
     pub received: Position,
-    /// The term it is held for by a promoter; zero if it is not held.
+    /// The term of the promotion for which the server is held, or zero. A held replica accepts no log
+    /// entries from the current primary.
     pub held: u64,
 }
 
-/// How a server looked when it was last asked.
+/// The result of the latest status requests to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sight {
-    /// Not asked yet.
+    /// No request has completed yet.
     Unknown,
     Answered(Status),
-    /// It has not answered since.
+    /// Unreachable since then.
     Lost {
         since: Moment,
     },
 }
 
-/// One member of a group, as the holder of the duty sees it.
+/// One member of a group, as the failover leader sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     pub id: Incarnation,
+    /// Whether it has announced that it will stop.
     pub leaving: bool,
     pub sight: Sight,
-    /// When the question was sent that `sight` answers.
+    /// When the last answered request was sent.
     pub asked: Moment,
 }
 
@@ -105,16 +104,16 @@
     }
 }
 
-/// What a judgement comes to.
+/// What to do about a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// There is a primary and nothing speaks against it.
+    /// The primary leads and need not be replaced.
     Healthy,
-    /// Too little is known, or it is too early.
+    /// Too little is known, or a timeout has not expired yet.
     Undecided,
-    /// Replicas are held though nobody replaces their primary: they are to receive again.
+    /// Release replicas that an abandoned failover left held.
     Resume,
-    /// The primary `old`, if there is one, is to be replaced.
+    /// Promote another server in place of the primary `old`, if one is known.
     Replace {
         old: Option<Incarnation>,
         cause: Cause,
@@ -124,68 +123,68 @@
 /// Why a primary is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It does not answer.
+    /// It is unreachable.
     Missing,
     /// No replica receives its log.
     Stalled,
-    /// It will stop soon.
+    /// It has announced that it will stop.
     Leaving,
-    /// No server leads.
+    /// No reachable server leads, and the last primary is not known to be unreachable.
     Leaderless,
 }
 
-/// What is remembered of one group between judgements.
+/// The failure detector of one group: the state kept between evaluations.
 #[derive(Clone, Debug, Default)]
 pub struct Monitor {
-    /// The server that was last seen leading.
+    /// The server that led last or was promoted last.
     leader: Option<Incarnation>,
-    /// The highest term that any member was seen in, and when that was first heard of.
+    /// The highest term that any member reported, and when it was first reported.
     newest: Option<(u64, Moment)>,
-    /// A promotion that was called for and has not been seen to take effect.
+    /// A requested promotion that may still take effect.
     promoting: Option<Promotion>,
-    /// A position of the primary's log that no replica has been seen to have received, and since
-    /// when the primary has it.
-    ahead: Option<(Moment, Position)>,
+    /// A position of the primary's log that no replica is known to have received, and when the
+    /// primary was first seen to have it.
+    unreplicated: Option<(Moment, Position)>,
     leaderless_since: Option<Moment>,
     held_since: Option<Moment>,
 }
 
-/// A promotion that was called for.
+/// A requested promotion whose effect has not been observed.
 #[derive(Clone, Copy, Debug)]
 struct Promotion {
-    /// The term that the promoted server will lead, at least.
+    /// The lowest term that the promoted server can lead.
     term: u64,
-    /// Until when it may take effect.
+    /// When it can no longer take effect.
     until: Moment,
 }
 
 impl Monitor {
-    /// Judges a group whose members are all of `members`.
+    /// Decides what to do about a group, given all its `members`.
     pub fn evaluate(&mut self, members: &[Member], now: Moment) -> Decision {
-        let heard = self.hear(members, now);
-        let leader = leader(members).filter(|(_, status)| status.term >= heard.0);
+        let newest = self.note_term(members, now);
+        let leader = leader(members).filter(|(_, status)| status.term >= newest.0);
         if self.is_promoting(leader.map(|(_, status)| status), now) {
             return Decision::Undecided;
         }
         if let Some((member, status)) = leader {
             self.leader = Some(member.id.clone());
             self.leaderless_since = None;
-            return self.judge_led(member, status, members, now);
+            return self.evaluate_led(member, status, members, now);
         }
-        self.ahead = None;
-        if members.iter().any(|member| may_lead(member, heard)) {
+        self.unreplicated = None;
+        if members.iter().any(|member| may_lead(member, newest)) {
             return Decision::Undecided;
         }
-        self.judge_leaderless(members, now)
+        self.evaluate_leaderless(members, now)
     }
 
-    /// The newest term that is known.
+    /// The highest term that any member has reported.
     pub fn newest_term(&self) -> u64 {
         self.newest.map_or(0, |(term, _)| term)
     }
 
-    /// Notes the highest term that the members speak of; returns it and when it was first heard of.
-    fn hear(&mut self, members: &[Member], now: Moment) -> (u64, Moment) {
+    /// Records the highest reported term; returns it and when it was first reported.
+    fn note_term(&mut self, members: &[Member], now: Moment) -> (u64, Moment) {
         let term = newest_term(members);
         match self.newest {
             Some(newest) if newest.0 >= term => newest,
@@ -193,7 +192,7 @@
         }
     }
 
-    /// Whether a promotion that was called for may still take effect.
+    /// Whether a requested promotion may still take effect.
     fn is_promoting(&mut self, leader: Option<Status>, now: Moment) -> bool {
         self.promoting = self.promoting.filter(|promotion| {
             let effective = leader.is_some_and(|status| status.term >= promotion.term);
@@ -202,8 +201,8 @@
         self.promoting.is_some()
     }
 
-    /// Judges a group of which no member that answers leads.
-    fn judge_leaderless(&mut self, members: &[Member], now: Moment) -> Decision {
+    /// Evaluates a group in which no reachable member leads.
+    fn evaluate_leaderless(&mut self, members: &[Member], now: Moment) -> Decision {
         let old = self.leader.as_ref().and_then(|id| {
             let lost = |member: &&Member| matches!(member.sight, Sight::Lost { .. });
             members.iter().filter(lost).find(|member| member.id == *id)
@@ -211,9 +210,9 @@
         let leaderless = *self.leaderless_since.get_or_insert(now);
         let since = match old.map(|member| member.sight) {
             Some(Sight::Lost { since }) => since,
-            // This process has never seen the primary: it is the one out of sight.
-            _ if self.leader.is_none() => first_lost(members).unwrap_or(leaderless),
-            // It answers and does not lead, or its entry is gone.
+            // This process has never reached the primary, so it must be an unreachable member.
+            _ if self.leader.is_none() => earliest_loss(members).unwrap_or(leaderless),
+            // The last primary answers as a replica, or is no longer registered.
             _ => leaderless,
         };
         let answered = members.iter().any(|member| member.status().is_some());
@@ -224,15 +223,15 @@
             Some(_) => Cause::Missing,
             None => Cause::Leaderless,
         };
-        // Out of sight is not the same as gone: it may lead on behind a cut.
+        // An unreachable primary may still lead on the other side of a partition.
         let old = old.map(|member| member.id.clone());
         Decision::Replace { old, cause }
     }
 
-    fn judge_led(
+    fn evaluate_led(
         &mut self,
         leader: &Member,
-        led: Status,
+        leader_status: Status,
         members: &[Member],
         now: Moment,
     ) -> Decision {
@@ -247,50 +246,60 @@
             cause,
         };
         let held = replicas().any(|(_, status)| status.held != 0);
-        let held_for = lasting(&mut self.held_since, held, now);
-        let stay = replicas().any(|(member, _)| !member.leaving);
-        if leader.leaving && stay {
+        let held_for = elapsed_while(&mut self.held_since, held, now);
+        let has_successor = replicas().any(|(member, _)| !member.leaving);
+        if leader.leaving && has_successor {
             return replace(Cause::Leaving);
         }
         if held {
-            // Why they receive nothing is known, and another primary would find them held as well.
-            self.ahead = None;
-            return match held_for >= HELD_TOO_LONG {
+            // Held replicas receive nothing under any primary, so the primary is not stalled.
+            self.unreplicated = None;
+            return match held_for >= MAX_HOLD {
                 true => Decision::Resume,
                 false => Decision::Healthy,
             };
         }
         let received = replicas().map(|(_, status)| status.received).max();
-        if self.ahead_for(led.received, received, now) >= STALLED_AFTER && stay {
+        if self.unreplicated_for(leader_status.received, received, now) >= STALLED_AFTER
+            && has_successor
+        {
             return replace(Cause::Stalled);
         }
         Decision::Healthy
     }
 
-    /// For how long no replica is known to have received what the primary had. Replicas are asked
-    /// less often than the primary, so their answers are held against what it had at the start, not
-    /// against what it has now.
-    fn ahead_for(&mut self, led: Position, received: Option<Position>, now: Moment) -> Duration {
+    /// How long no replica has made progress. Replicas are polled less often than the primary, so
+    /// their positions are compared with the primary's position at the start of that period, not with
+    /// its current one.
+    fn unreplicated_for(
+        &mut self,
+        written: Position,
+        received: Option<Position>,
+        now: Moment,
+    ) -> Duration {
         let caught_up = |position: Position| received.is_none_or(|received| received >= position);
-        if self.ahead.is_some_and(|(_, position)| caught_up(position)) {
-            self.ahead = None;
+        if self
+            .unreplicated
+            .is_some_and(|(_, position)| caught_up(position))
+        {
+            self.unreplicated = None;
         }
-        if self.ahead.is_none() && !caught_up(led) {
-            self.ahead = Some((now, led));
+        if self.unreplicated.is_none() && !caught_up(written) {
+            self.unreplicated = Some((now, written));
         }
-        self.ahead
+        self.unreplicated
             .map_or(Duration::ZERO, |(since, _)| now.since(since))
     }
 
-    /// Whether the group is to be looked at more closely.
+    /// Whether the group shows signs of a failure and should be polled more often.
     pub fn is_suspect(&self, now: Moment) -> bool {
-        let ahead = self
-            .ahead
+        let stalling = self
+            .unreplicated
             .is_some_and(|(since, _)| now.since(since) > SUSPECT_AFTER);
-        ahead || self.leaderless_since.is_some() || self.held_since.is_some()
+        stalling || self.leaderless_since.is_some() || self.held_since.is_some()
     }
 
-    /// Notes that an attempt has just ended: what was seen before it says nothing any more.
+    /// Notes that a failover attempt has just ended, which makes earlier observations obsolete.
     pub fn note_attempt(&mut self) {
         *self = Self {
             leader: self.leader.take(),
@@ -300,31 +309,31 @@
         };
     }
 
-    /// Notes that the promotion of `server` to `term` was called for, whatever the answer was.
+    /// Notes that the promotion of `server` to `term` was requested, whatever the answer was.
     pub fn note_promotion(&mut self, server: &Incarnation, term: u64, now: Moment) {
         self.note_attempt();
         self.leader = Some(server.clone());
-        let until = now + EFFECT_LIMIT;
+        let until = now + PROMOTION_EFFECT_TIMEOUT;
         self.promoting = Some(Promotion { term, until });
     }
 }
 
-/// Whether a member may lead the newest term though it does not say so.
+/// Whether a member may lead the newest term although its last status does not show it.
 ///
-/// Failure: a server was promoted and is busy, so its last answer is from before it led, while the
-/// others already follow it. Side by side the answers show a group without a primary, and the sound
-/// one is replaced, with acknowledged commits lost. Guard: only an answer to a question asked after the newest term was heard of denies that its server leads that term; one
-/// that is in that term itself follows another.
-fn may_lead(member: &Member, (term, heard): (u64, Moment)) -> bool {
+/// A busy server's last status may be older than its promotion, while others already follow it; the
+/// group then looks leaderless, and replacing the healthy primary would lose acknowledged commits.
+/// Only a status requested after the newest term was first reported rules its server out, or one that
+/// is in the newest term itself, as that server follows another.
+fn may_lead(member: &Member, (term, first_reported): (u64, Moment)) -> bool {
     match member.sight {
         Sight::Unknown => true,
-        Sight::Answered(status) => status.term < term && member.asked < heard,
+        Sight::Answered(status) => status.term < term && member.asked < first_reported,
         Sight::Lost { .. } => false,
     }
 }
 
-/// Keeps the start of a condition while it lasts; returns for how long it has.
-fn lasting(since: &mut Option<Moment>, holds: bool, now: Moment) -> Duration {
+/// Tracks in `since` when a condition began; returns how long it has held without a break.
+fn elapsed_while(since: &mut Option<Moment>, holds: bool, now: Moment) -> Duration {
     match holds {
         true => now.since(*since.get_or_insert(now)),
         false => {
@@ -334,8 +343,8 @@
     }
 }
 
-/// Since when the member is out of sight that was lost first.
-fn first_lost(members: &[Member]) -> Option<Moment> {
+/// When the first of the members that are now unreachable became so.
+fn earliest_loss(members: &[Member]) -> Option<Moment> {
     let lost = members.iter().filter_map(|member| match member.sight {
         Sight::Lost { since } => Some(since),
         Sight::Unknown | Sight::Answered(_) => None,
@@ -343,8 +352,8 @@
     lost.min()
 }
 
-/// The member that leads the newest term. A primary of an earlier term has been replaced, though it
-/// may not know it.
+/// The member that leads the newest term. A primary of an earlier term has been replaced, even if it
+/// has not noticed yet.
 pub fn leader(members: &[Member]) -> Option<(&Member, Status)> {
     let term = newest_term(members);
     members
@@ -355,21 +364,20 @@
 
 /// The highest term that any member has followed or led.
 ///
-/// Failure: attempts that end halfway leave replicas held; if each held them for a higher term than
-/// the last, they would stay held above the term of the primary that is promoted in the end, and its
-/// commits would wait for ever. Guard: the terms for which members are held do not count, so every
-/// attempt against the same primary holds them for the same term.
+/// Terms for which members are held do not count, so all attempts against one primary hold replicas
+/// for the same term. If each abandoned attempt raised it, replicas would stay held above the term of
+/// the server that is finally promoted, and its commits would wait forever.
 pub fn newest_term(members: &[Member]) -> u64 {
     let statuses = members.iter().filter_map(Member::status);
     statuses.map(|status| status.term).max().unwrap_or_default()
 }
 
-/// Whether a server that said `before` and later says `after` has started again in between.
+/// Whether a server that reported `before` and later `after` has restarted in between.
 ///
-/// Failure: a replica confirms a commit, crashes and comes back under its id with an empty log, all
-/// before its new registration is seen. Held for a promotion it looks like one of the quorum, and the
-/// member promoted lacks the commit. Guard: a log is only ever cut at a change of term, so one that
-/// has become shorter within a term is another one, and its server counts for nothing.
+/// A log is truncated only when the term changes, so a log that became shorter within a term belongs
+/// to a new incarnation. A replica may confirm a commit and restart with an empty log before its new
+/// registration is seen; counted in a promotion quorum, it would let a server without the commit be
+/// promoted.
 pub fn has_restarted(before: &Status, after: &Status) -> bool {
     after.term <= before.term && after.received < before.received
 }
