--- a/crates/engine/src/fence.rs
+++ b/crates/engine/src/fence.rs
@@ -1,9 +1,10 @@
-//! One attempt to replace a primary: what its orders have brought about, and which server they
-//! allow to be promoted.
+//! One failover attempt: which members are fenced, and which server may be promoted.
 //!
-//! The proof that nothing acknowledged is lost is in `docs/DESIGN.md`, "Failover": a new primary is
-//! chosen only when no commit can be acknowledged by the old one any more, and among logs of which
-//! one certainly holds every acknowledged commit.
+//! The process that runs the attempt orders the primary to step down and the replicas to be held, so
+//! that they receive nothing until the promotion. `docs/DESIGN.md`, "Failover" proves that no
+//! acknowledged commit is lost: a new primary is chosen only once the old one can no longer
+//! acknowledge commits, and only from a set of logs at least one of which holds every acknowledged
+//! commit.
 
 use dandelionpitch_core::position::Position;
 
@@ -12,54 +13,54 @@
     takeover::{self, Member, Sight, Status},
 };
 
-/// What a member said when it was told to follow nobody but the promoter.
+/// A member that is held, or a primary that has stepped down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fenced {
     pub id: Incarnation,
+    /// Whether it has announced that it will stop.
     pub leaving: bool,
-    /// The end of its log, which cannot grow any more.
+    /// The end of its log, which no longer grows.
     pub received: Position,
 }
 
-/// What a member's answer to its order comes to.
+/// What a member's answer to its order means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// It is held.
     Held,
-    /// It led and has stepped down.
+    /// It led the newest term and no longer does.
     SteppedDown,
-    /// It does not do what it was told, or that says nothing.
+    /// It did not carry out the order, or its answer proves nothing.
     Nothing,
-    /// It has started again since it was last seen.
+    /// It has restarted since its last status.
     Restarted,
-    /// Somebody leads, or has led, the very term for which it was to be held.
+    /// The term of this attempt already has, or had, a primary.
     Superseded,
 }
 
-/// How a member stands when it is asked once more.
+/// A member's answer to the status request just before the promotion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recheck {
     Answered(Status),
-    /// It has no time to say, or cannot be reached. It may have started again or been let go.
+    /// It is busy or unreachable. It may have restarted or been released.
     Unavailable,
 }
 
-/// What speaks against a promotion just before it is called for.
+/// Why a promotion must not be requested after all.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Objection {
-    /// The member is not as it was when it obeyed.
+    /// The member is no longer fenced, or its log has changed.
     Changed(Incarnation),
-    /// Too few have said that they still are.
+    /// Too few members have confirmed that they are still fenced.
     NoQuorum { confirmed: usize, quorum: usize },
 }
 
-/// The orders of one attempt and what came of them.
+/// The state of one failover attempt.
 #[derive(Clone, Debug)]
 pub struct Fence {
-    /// The term for which members are held: the one after the newest.
+    /// The term for which members are held.
     term: u64,
     quorum: usize,
-    /// The server that leads the newest term and is to step down, if it has said itself that it leads.
+    /// The server that reported itself as the primary of the newest term.
     leader: Option<Incarnation>,
     held: Vec<Fenced>,
     stepped_down: Option<Fenced>,
@@ -67,8 +68,8 @@
 }
 
 impl Fence {
-    /// An attempt against the group `members`, of which `quorum` have to be held. `newest` is the
-    /// newest term known, `last` the server that was promoted last, if any was.
+    /// Starts an attempt in a group of `members`, `quorum` of which have to be held. `newest` is the
+    /// newest known term, and `last` the server promoted last, if any.
     pub fn new(members: &[Member], newest: u64, last: Option<&str>, quorum: usize) -> Self {
         let leader = takeover::leader(members)
             .filter(|(_, status)| status.term >= newest)
@@ -84,33 +85,33 @@
         }
     }
 
-    /// The term for which members are held.
+    /// The term for which members are held: the one after the newest.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// How many have to be held.
+    /// How many members have to be held.
     pub fn quorum(&self) -> usize {
         self.quorum
     }
 
-    /// The members that are held.
+    /// The members held so far.
     pub fn held(&self) -> &[Fenced] {
         &self.held
     }
 
-    /// Whether enough members are held.
+    /// Whether a quorum is held.
     pub fn is_complete(&self) -> bool {
         self.held.len() >= self.quorum
     }
 
-    /// Takes a member's answer to its order.
+    /// Records a member's answer to its order.
     ///
-    /// Failure: the server that is told to step down has long been a replica of the true primary. It
-    /// answers as a replica, which looks as if the primary had stepped down and its log were
-    /// complete; the true primary goes on acknowledging, and all of that is lost. Guard: only a server
-    /// that has said itself that it leads the newest term, and after which none was promoted, proves
-    /// anything by stepping down; a member that is already in the term of the attempt ends it.
+    /// A server that was told to step down may have become a replica of a newer primary earlier; its
+    /// answer then looks as if the primary had stepped down, while the newer one keeps acknowledging
+    /// commits. So stepping down counts only for a server that reported itself as the primary of the
+    /// newest term, with no later promotion, and a member already in the attempt's term ends the
+    /// attempt.
     pub fn note(&mut self, member: &Member, after: &Status) -> Response {
         if has_restarted(member, after) {
             return Response::Restarted;
@@ -122,17 +123,17 @@
         if after.role != Role::Replica {
             return Response::Nothing;
         }
-        let one = Fenced {
+        let fenced = Fenced {
             id: member.id.clone(),
             leaving: member.leaving,
             received: after.received,
         };
         if self.leader.as_ref() == Some(&member.id) {
-            self.stepped_down = Some(one);
+            self.stepped_down = Some(fenced);
             return Response::SteppedDown;
         }
         if after.held >= self.term {
-            self.held.push(one);
+            self.held.push(fenced);
             return Response::Held;
         }
         Response::Nothing
@@ -146,55 +147,60 @@
         }
     }
 
-    /// Whether the choice still stands, by what its members say after the promotion was written down.
+    /// Checks that the choice is still safe, from statuses requested after the promotion was recorded
+    /// in the store.
+    ///
+    /// A held server that restarts is no longer held and may confirm commits of the old primary that
+    /// the promoted server lacks, and the chosen server may lose its log. A held log does not change,
+    /// so the members that the choice depends on, including the chosen one, must report that they are
+    /// still fenced with the same log. A commit confirmed because the store showed no promotion was on
+    /// its replicas before the record was written, so it is in the logs compared here.
+    ///
+    /// # Errors
     ///
-    /// Failure: a held server starts again, has forgotten the order, and confirms commits of the old
-    /// primary that the promoted server lacks; or the server to be promoted has lost its log. Guard: a
-    /// held log does not change, so those on whom the choice rests, the chosen one among them, say once
-    /// more that they are held with the same log. They are asked after the promotion was written down,
-    /// so a commit that was confirmed on the word that none was is in that log.
+    /// The objection, if a member has changed or too few have confirmed.
     pub fn recheck(&self, answers: &[(Incarnation, Recheck)]) -> Result<(), Objection> {
         let choice = self.choice().map(|choice| &choice.id);
         let mut confirmed = 0;
-        let mut chosen = false;
+        let mut choice_confirmed = false;
         for (id, answer) in answers {
             let Recheck::Answered(status) = answer else {
                 continue;
             };
-            match self.is_as_before(id, status) {
+            match self.is_unchanged(id, status) {
                 Some(true) => {
                     confirmed += 1;
-                    chosen |= Some(id) == choice;
+                    choice_confirmed |= Some(id) == choice;
                 }
                 Some(false) => return Err(Objection::Changed(id.clone())),
                 None => {}
             }
         }
-        let needed = self.needed();
-        match chosen && confirmed >= needed {
+        let required = self.required();
+        match choice_confirmed && confirmed >= required {
             true => Ok(()),
             false => Err(Objection::NoQuorum {
                 confirmed,
-                quorum: needed,
+                quorum: required,
             }),
         }
     }
 
-    /// Whether a member is as it was when it obeyed; `None` if the choice does not rest on it.
-    fn is_as_before(&self, id: &Incarnation, status: &Status) -> Option<bool> {
+    /// Whether a member is still fenced with the same log; `None` if the choice does not depend on it.
+    fn is_unchanged(&self, id: &Incarnation, status: &Status) -> Option<bool> {
         if status.term >= self.term {
             return Some(false);
         }
-        let held = self.held.iter().find(|one| one.id == *id);
-        let stepped_down = self.stepped_down.as_ref().filter(|one| one.id == *id);
+        let held = self.held.iter().find(|fenced| fenced.id == *id);
+        let stepped_down = self.stepped_down.as_ref().filter(|fenced| fenced.id == *id);
         let before = held.or(stepped_down)?;
-        let obeys = held.is_none() || status.held >= self.term;
-        let same = status.role == Role::Replica && status.received == before.received;
-        Some(obeys && same)
+        let is_fenced = held.is_none() || status.held >= self.term;
+        let same_log = status.role == Role::Replica && status.received == before.received;
+        Some(is_fenced && same_log)
     }
 
-    /// On how many members the choice rests.
-    fn needed(&self) -> usize {
+    /// How many members have to confirm: a quorum if one is held, otherwise every fenced member.
+    fn required(&self) -> usize {
         match self.is_complete() {
             true => self.quorum,
             false => self.held.len() + usize::from(self.stepped_down.is_some()),
@@ -202,7 +208,7 @@
     }
 }
 
-/// Whether a member's answer shows that it has started again since it was last seen.
+/// Whether a member's answer shows that it has restarted since its last status.
 fn has_restarted(member: &Member, after: &Status) -> bool {
     match member.sight {
         Sight::Answered(before) => takeover::has_restarted(&before, after),
@@ -212,20 +218,20 @@
 
 /// How many members must be held as replicas before one of them may be promoted.
 ///
-/// An acknowledged commit is on its primary and on `sync_replicas` members more. With all but
-/// `sync_replicas` members held, whichever those others are, one of the held has the commit, and
-/// the others are too few to acknowledge another: a primary among them lacks a replica. Without
-/// synchronous replicas every member must be held.
+/// An acknowledged commit is on its primary and on `sync_replicas` other members. If all but
+/// `sync_replicas` members are held, at least one held member has the commit, and the rest are too
+/// few to acknowledge another: a primary among them lacks a replica. Without synchronous replicas
+/// every member must be held.
 pub fn quorum(members: usize, sync_replicas: u32) -> usize {
     members.saturating_sub(sync_replicas as usize).max(1)
 }
 
 /// The server to promote, or `None` if no safe choice exists.
 ///
-/// `fenced` are the members that are held as replicas, and `stepped_down` the old primary if it
-/// obeyed. Safe are two cases: a [`quorum`] is held, and the longest of their logs has every
-/// acknowledged commit; or the old primary stepped down, and its own log has them all, so a server
-/// that has as much, or the old primary itself, will do.
+/// `fenced` are the members held as replicas, and `stepped_down` is the old primary if it has stepped
+/// down. Two cases are safe. If a [`quorum`] is held, the longest of their logs has every acknowledged
+/// commit. If the old primary stepped down, its own log has them all, so the choice is a held server
+/// whose log is at least as long, or the old primary itself.
 pub fn choose<'a>(
     quorum: usize,
     fenced: &'a [Fenced],
