--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -1,9 +1,9 @@
-//! Whether a commit is certain to be in the log of whichever server is promoted, before its caller
-//! is told that it is kept (`docs/DESIGN.md`, "Commits are confirmed").
+//! Decides whether a commit survives any failover, before its caller is told that it succeeded
+//! (`docs/DESIGN.md`, "Commits are confirmed").
 //!
-//! A primary takes a commit for acknowledged as soon as any replica has received it. That is no proof:
-//! the replica may be one that no promoter counts, or a promotion may already have taken effect when
-//! it received the commit.
+//! A primary acknowledges a commit as soon as any replica has received it. That does not prove that
+//! the commit is durable: the replica may not count for promotions, or it may have received the commit
+//! only after a promotion took effect.
 
 use dandelionpitch_core::position::Position;
 
@@ -14,32 +14,32 @@
     time::Moment,
 };
 
-/// The list of servers that count for a promotion, as the proxy has it.
+/// How current the proxy's list of the servers that count for promotions is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Membership {
     /// Read from the store within [`crate::roster::LIST_VALIDITY`].
     Current,
-    /// Older, as the store is out of reach.
+    /// Older, because the store is unreachable.
     Stale,
-    /// Nobody has written one yet.
+    /// No list has been written yet.
     Missing,
 }
 
-/// What the store says of a group's last promotion, in answer to a question sent at `asked`.
+/// A group's record in the store, as read by a request sent at `asked`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     pub asked: Moment,
-    /// The server that was promoted last, or is about to be; `None` while none was.
+    /// The server promoted last, or about to be promoted; `None` before the first promotion.
     pub promoted: Option<String>,
-    /// The servers that count.
+    /// The servers that count for promotions.
     pub members: Vec<Incarnation>,
 }
 
-/// What is known of one commit.
+/// A commit and the servers known to have it.
 #[derive(Clone, Debug)]
 pub struct Commit {
     position: Position,
-    /// How many replicas a commit of the group waits for.
+    /// How many replicas have to receive a commit of the group.
     sync_replicas: usize,
     holders: Vec<Holder>,
 }
@@ -48,16 +48,16 @@
 #[derive(Clone, Debug)]
 struct Holder {
     id: Incarnation,
-    /// It stands on the proxy's list of those that count.
+    /// Whether it counts for promotions.
     counts: bool,
-    /// By when it had said so first.
-    at: Moment,
-    /// By when it had said so last.
-    again: Moment,
+    /// When it was first known to have the commit.
+    first_seen: Moment,
+    /// When it last reported that it has the commit.
+    last_seen: Moment,
 }
 
 impl Commit {
-    /// A commit at `position`, in a group whose commits wait for `sync_replicas`.
+    /// A commit at `position`, in a group whose commits wait for `sync_replicas` replicas.
     pub fn new(position: Position, sync_replicas: usize) -> Self {
         Self {
             position,
@@ -71,37 +71,37 @@
         self.position.term
     }
 
-    /// Notes what a server said by `now`, one that `counts` or not.
+    /// Records a server's status, received by `now`. `counts` tells whether the server counts for
+    /// promotions.
     pub fn note(&mut self, id: &Incarnation, counts: bool, status: &Status, now: Moment) {
         if !has_commit(status.received, self.position) {
             return;
         }
         match self.holders.iter_mut().find(|holder| holder.id == *id) {
-            Some(known) => known.again = now,
+            Some(known) => known.last_seen = now,
             None => self.holders.push(Holder {
                 id: id.clone(),
                 counts,
-                at: now,
-                again: now,
+                first_seen: now,
+                last_seen: now,
             }),
         }
     }
 
-    /// Whether any server is known to have it.
+    /// Whether any other server is known to have the commit.
     pub fn is_replicated(&self) -> bool {
         !self.holders.is_empty()
     }
 
-    /// Whether the caller may be told that the commit is kept, by the lease of the primary that made
-    /// it, if that one is still known as the primary of the commit's term. `others` are all servers
-    /// besides it, those included that count and have vanished.
+    /// Whether the caller may be told that the commit succeeded. `lease` is that of the primary that
+    /// made the commit, if it is still known as the primary of the commit's term. `others` are all
+    /// other servers, including those that count for promotions but are no longer registered.
     ///
-    /// Failure: the replicas are held for a promotion, and the primary, which has not heard of it,
-    /// commits. When the promotion takes effect the holds end, and a replica that the new primary does
-    /// not reach receives the commit from the old one; its caller hears that it is kept, and it is
-    /// rolled back. Guard: the word of as many replicas as commits wait for counts only while the
-    /// lease proves that no promotion can have taken effect by then. Without a lease all have to have
-    /// the commit: whichever of them is promoted then has it too.
+    /// When a promotion takes effect, the holds on the replicas end. A replica that the new primary
+    /// does not reach may then receive the commit from the old one, and the commit is rolled back
+    /// later. So confirmation by `sync_replicas` replicas suffices only while the lease proves that no
+    /// promotion can have taken effect. Without a lease all other servers must have the commit, and
+    /// with them whichever of them is promoted.
     pub fn is_durable(
         &self,
         lease: Option<&Lease>,
@@ -115,30 +115,32 @@
         let Some(lease) = lease.filter(|_| list == Membership::Current) else {
             return false;
         };
-        self.is_enough(|holder| holder.counts && lease.excludes_promotion(holder.at))
+        self.is_replicated_by(|holder| holder.counts && lease.excludes_promotion(holder.first_seen))
     }
 
-    /// As [`Self::is_durable`], by the store's word, for a commit of the primary `leader`.
+    /// As [`Self::is_durable`], but proved by the group's record in the store, for a commit of the
+    /// primary `leader`.
     ///
-    /// It was asked for after servers that count had the commit. No promotion was written down by then
-    /// but the primary's own, and whoever promotes asks its members once more after writing: those
-    /// servers are then found with the commit.
+    /// The record was requested after enough servers that count had the commit, and it shows no
+    /// promotion after that of `leader`. A later failover requests its members' statuses again after
+    /// writing the record, and finds the commit on those servers.
     ///
-    /// Failure: a server says that it has the commit after `leader` was replaced, `leader` is promoted a
-    /// second time, and only then the store is asked, which names it. Guard: the server's last word is
-    /// younger than [`PROMOTION_WAIT`], which lies between that and the second promotion.
-    pub fn is_durable_by_record(&self, testimony: &Snapshot, leader: &Incarnation) -> bool {
-        let promoted = testimony.promoted.as_deref();
+    /// The record also names `leader` if another server was promoted and then `leader` once more, and
+    /// a server may have reported the commit in between. The report must therefore be more recent than
+    /// [`PROMOTION_WAIT`], the least time between such a report and the second promotion.
+    pub fn is_durable_by_record(&self, record: &Snapshot, leader: &Incarnation) -> bool {
+        let promoted = record.promoted.as_deref();
         let leads = promoted.is_none_or(|promoted| promoted == leader.id);
         let counts = |holder: &Holder| {
-            holder.again <= testimony.asked
-                && testimony.asked < holder.again + PROMOTION_WAIT
-                && testimony.members.contains(&holder.id)
+            holder.last_seen <= record.asked
+                && record.asked < holder.last_seen + PROMOTION_WAIT
+                && record.members.contains(&holder.id)
         };
-        leads && self.is_enough(counts)
+        leads && self.is_replicated_by(counts)
     }
 
-    fn is_enough(&self, counts: impl Fn(&Holder) -> bool) -> bool {
+    /// Whether enough of the servers that satisfy `counts` have the commit.
+    fn is_replicated_by(&self, counts: impl Fn(&Holder) -> bool) -> bool {
         let holders = self.holders.iter().filter(|holder| counts(holder));
         holders.count() >= self.sync_replicas.max(1)
     }
