--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -1,5 +1,6 @@
-//! What a read must see, known without trusting any replica's lag: positions of the primary's
-//! log, each with the time at which it was asked for, and the lease that proves who leads.
+//! Decides what a read must see to satisfy its consistency level, without trusting the lag that
+//! replicas report: from watermarks, which are positions of the primary's log with the times at which
+//! they were requested, and from a leader lease, which proves that the known primary still leads.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -7,49 +8,48 @@
 
 use crate::{registry::Role, takeover::Status, time::Moment};
 
-/// How long a replica's word that it obeys a primary counts, from the moment it was asked.
+/// How long a replica's confirmation that it follows the primary is valid, from the time of the
+/// request.
 ///
-/// A promoter first makes the replicas deaf to the old primary and then waits at least
-/// [`PROMOTION_WAIT`], so no commit can be acknowledged elsewhere while such a word counts.
-/// Each renewal costs a server as much as a short statement.
+/// A failover first holds the replicas, so that they accept nothing from the old primary, and then
+/// waits for at least [`PROMOTION_WAIT`]. No other server can acknowledge a commit while the
+/// confirmation is valid.
 pub const LEADER_LEASE: Duration = Duration::from_millis(500);
 
-/// How long a promoter waits after the replicas obey it: the lease, and 50 ms for the time between
-/// asking a replica and its answer being made.
+/// How long a failover waits between holding the replicas and the promotion: the lease, plus a margin
+/// for the time that a status request takes to reach a replica.
 pub const PROMOTION_WAIT: Duration = Duration::from_millis(550);
 
-/// Watermarks closer together than this replace each other: a replica's lag is not known more closely.
-const SPACING: Duration = Duration::from_millis(50);
+/// The least time between two stored watermarks; closer ones replace each other.
+const MIN_SPACING: Duration = Duration::from_millis(50);
 
-/// Watermarks kept: with [`SPACING`], those of six seconds, as no read may be older.
-const KEPT: usize = 128;
+/// The number of watermarks kept: with [`MIN_SPACING`], more than the largest staleness bound needs.
+const CAPACITY: usize = 128;
 
-/// A primary position and the time at which it was asked for: the log up to `position` holds every
-/// commit acknowledged before `asked`.
+/// A position of the primary's log and the time at which it was requested: the log up to `position`
+/// holds every commit acknowledged before `asked`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watermark {
     pub asked: Moment,
     pub position: Position,
 }
 
-/// The marks of one group, oldest first.
+/// The watermarks of one group, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct Watermarks {
     marks: VecDeque<Watermark>,
-    /// The end of the primary's log when it said that it leads.
-    led: Option<Position>,
+    /// The end of the primary's log when it last reported that it leads.
+    leader_position: Option<Position>,
 }
 
 impl Watermarks {
-    /// Notes a position of the primary's log, asked for while its lease was valid.
+    /// Adds a position of the primary's log that was requested while its lease was valid.
     ///
-    /// A position of a later term drops the earlier marks: the primary's log may have ended in
-    /// entries that were rolled back, and no server will ever hold those.
+    /// A position of a later term drops the earlier watermarks: the old primary's log may have ended
+    /// in entries that were rolled back, which no server will ever have again.
     ///
-    /// Failure: the primary starts again with an empty log, and the answer that says so carries its
-    /// position, asked for while the lease still held; taken for a mark, it lets reads miss
-    /// everything. Guard: a log does not get shorter within a term, so a lower position than the last
-    /// one is not the primary's.
+    /// A position lower than the last one is ignored: a log does not become shorter within a term, so
+    /// it comes from a primary that restarted with an empty log, and reads would miss commits.
     pub fn note(&mut self, mark: Watermark) {
         if let Some(last) = self.marks.back().copied() {
             let lower = mark.position < last.position && mark.asked >= last.asked;
@@ -62,183 +62,188 @@
         }
         self.marks
             .retain(|old| old.asked < mark.asked || old.position <= mark.position);
-        let last_two = self.marks.len().checked_sub(2).map(|i| self.marks[i]);
-        if last_two.is_some_and(|before| mark.asked.since(before.asked) < SPACING) {
+        let second_last = self.marks.len().checked_sub(2).map(|i| self.marks[i]);
+        if second_last.is_some_and(|before| mark.asked.since(before.asked) < MIN_SPACING) {
             self.marks.pop_back();
         }
         match self.marks.back() {
             Some(last) if last.asked >= mark.asked => {}
             _ => self.marks.push_back(mark),
         }
-        if self.marks.len() > KEPT {
+        if self.marks.len() > CAPACITY {
             self.marks.pop_front();
         }
     }
 
-    /// The lowest position that holds every commit acknowledged before `since`.
+    /// The lowest known position that covers every commit acknowledged before `since`.
     pub fn floor(&self, since: Moment) -> Option<Watermark> {
         self.marks.iter().find(|mark| mark.asked >= since).copied()
     }
 
-    /// Notes the end of a server's log as it said that it leads.
+    /// Records the end of a server's log from the status in which it reported that it leads.
     pub fn note_leader_position(&mut self, position: Position) {
-        self.led = Some(position);
+        self.leader_position = Some(position);
     }
 
     /// The newest position that the primary's log is known to have had.
     ///
-    /// Failure: the primary starts again under its id with an empty log. Nobody else leads, so its lease
-    /// still holds, and a read on a new connection to it finds nothing. Guard: reads that must see
-    /// every commit run only on a log that goes up to this position, which an empty one does not.
+    /// Linearizable reads run only on a log that reaches this position. A primary that restarts under
+    /// its id with an empty log keeps its lease, as no other server leads, and would otherwise serve
+    /// reads that miss every commit.
     pub fn newest_position(&self) -> Option<Position> {
-        self.newest().map(|mark| mark.position).max(self.led)
+        self.newest()
+            .map(|mark| mark.position)
+            .max(self.leader_position)
     }
 
-    /// The newest mark.
+    /// The newest watermark.
     pub fn newest(&self) -> Option<Watermark> {
         self.marks.back().copied()
     }
 }
 
-/// What the other members said when they were asked, all after `asked`, about the primary.
+/// What the other members reported about the primary in answer to requests sent after `asked`.
 ///
-/// A lease that is renewed counts from `asked`, but only if the answers came within
-/// [`PROMOTION_WAIT`] of the last time: one that took longer may be from after a promotion.
+/// A poll extends the lease from `asked`. One with too few followers to start a lease can only renew
+/// it, and only if the answers arrived within [`PROMOTION_WAIT`] of the poll behind the last grant or
+/// renewal: later answers may be from after a promotion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
     pub asked: Moment,
-    /// When the last of the answers came.
+    /// When the last of the answers arrived.
     pub answered: Moment,
-    /// How many obey it.
+    /// How many members follow the primary.
     pub followers: usize,
-    /// How many members there are besides it.
+    /// How many registered members there are besides the primary.
     pub others: usize,
-    /// How many more count for a promotion that are not registered: one of them may have been promoted.
+    /// How many servers count for promotions but are not registered: one of them may have been
+    /// promoted.
     pub unregistered: usize,
-    /// How many replicas a commit of the group waits for.
+    /// How many replicas have to receive a commit of the group.
     pub sync_replicas: usize,
 }
 
 impl Poll {
-    /// Whether all others obey: none was promoted before, and none is held for a promotion.
+    /// Whether all others follow the primary: none has been promoted or is held for a promotion.
     fn is_complete(&self) -> bool {
         self.followers == self.others && self.unregistered == 0
     }
 
-    /// Whether one of those that obey would be held if a promotion were under way: a promoter holds
-    /// all but `sync_replicas` members, and the primary is one of the rest.
-    fn meets_promoter(&self) -> bool {
+    /// Whether at least one of the followers would be held if a failover were in progress: it holds
+    /// all but `sync_replicas` members, and the primary is one of those not held.
+    fn intersects_hold_quorum(&self) -> bool {
         self.followers >= self.sync_replicas.max(1)
     }
 
-    /// Whether one of those that obey would have received whatever a newer primary acknowledged
-    /// before: it needs `sync_replicas` members besides itself.
-    fn meets_commits(&self) -> bool {
+    /// Whether at least one of the followers would have received any commit that a newer primary had
+    /// acknowledged: each needs `sync_replicas` members besides that primary.
+    fn intersects_commit_quorum(&self) -> bool {
         let others = self.others + self.unregistered;
         self.followers >= others.saturating_sub(self.sync_replicas).max(1)
     }
 }
 
-/// The proof that nothing newer than the known primary's log was acknowledged.
+/// The leader lease: the proof that no server but the known primary has acknowledged a commit.
 ///
-/// Failure: at the moment of a promotion the replicas are held no more, and one that has not heard
-/// of the new primary yet looks as if it obeyed the old one; a lease granted on its word let a read
-/// miss commits of the new primary for 300 ms. Guard: a lease starts only when all other members
-/// obey, and is renewed by fewer only within [`PROMOTION_WAIT`] of the last time, in which no
-/// promotion can have gone from its first hold to its end. On any other word a read is allowed only
-/// if it came before the question: what a newer primary had acknowledged by then, a replica that
-/// answers would have.
+/// A promotion releases the held replicas, and until they hear of the new primary they look as if
+/// they followed the old one. So a lease starts only when all other members follow the primary.
+/// Fewer can renew it, but only within [`PROMOTION_WAIT`] of the last time, too short for a failover
+/// to hold the replicas and promote a server. A poll that does neither but intersects every commit
+/// quorum covers only reads that arrived before its requests were sent: if a newer primary had
+/// acknowledged a commit by then, one of the replicas polled would have it and would not follow the
+/// old primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
-    /// Reads that came no later than this miss nothing.
+    /// Reads that arrived no later than this see every commit on the primary.
     until: Option<Moment>,
-    /// When the last poll was asked that granted or renewed a lease.
+    /// When the requests behind the last grant or renewal were sent.
     renewed: Option<Moment>,
 }
 
 impl Lease {
-    /// Takes a poll in which no member spoke for another primary.
+    /// Applies a poll in which no member reported a newer primary.
     pub fn confirm(&mut self, poll: Poll) {
-        let renews = self.is_renewable(poll.answered) && poll.meets_promoter();
+        let renews = self.is_renewable(poll.answered) && poll.intersects_hold_quorum();
         if poll.is_complete() || renews {
             self.renewed = self.renewed.max(Some(poll.asked));
             self.until = self.until.max(Some(poll.asked + LEADER_LEASE));
-        } else if poll.meets_commits() {
+        } else if poll.intersects_commit_quorum() {
             self.until = self.until.max(Some(poll.asked));
         }
     }
 
-    /// Takes the store's word that at `asked` no promotion had been called for since the primary's own,
-    /// together with a replica that obeyed the primary before.
+    /// Starts or renews the lease because the group's record in the store shows no promotion after
+    /// the primary's own, and enough replicas followed the primary when polled at `followed`, before
+    /// the record was requested.
     ///
-    /// A promoter writes a promotion down before it asks its members once more and calls for it, so
-    /// one that comes now has yet to hold that replica, for [`PROMOTION_WAIT`].
-    pub fn renew_from_record(&mut self, obeyed: Moment) {
-        self.renewed = self.renewed.max(Some(obeyed));
-        self.until = self.until.max(Some(obeyed + LEADER_LEASE));
+    /// A failover records its promotion before it rechecks its members and requests the promotion. One
+    /// not yet recorded had held none of those replicas at `followed`, and has to hold at least one of
+    /// them for [`PROMOTION_WAIT`] before it promotes.
+    pub fn renew_from_record(&mut self, followed: Moment) {
+        self.renewed = self.renewed.max(Some(followed));
+        self.until = self.until.max(Some(followed + LEADER_LEASE));
     }
 
-    /// Whether a poll answered at `answered` needs only some of the members.
+    /// Whether the lease can be renewed by a poll of only some members, answered at `answered`.
     pub fn is_renewable(&self, answered: Moment) -> bool {
         self.renewed
             .is_some_and(|renewed| answered < renewed + PROMOTION_WAIT)
     }
 
-    /// Whether a read that came at `at` misses nothing on the primary.
+    /// Whether a read that arrived at `at` sees every acknowledged commit on the primary.
     pub fn covers(&self, at: Moment) -> bool {
         self.until.is_some_and(|until| at <= until)
     }
 
-    /// Whether no promotion can have taken effect by `at`. Unlike [`Self::covers`] this needs the lease
-    /// itself: a single replica's word says only what a newer primary has acknowledged by then.
+    /// Whether no promotion can have taken effect by `at`. Unlike [`Self::covers`] this needs a grant or
+    /// renewal of the lease: a poll of fewer members proves only that no newer primary had acknowledged
+    /// a commit.
     pub fn excludes_promotion(&self, at: Moment) -> bool {
         self.renewed
             .is_some_and(|renewed| at <= renewed + LEADER_LEASE)
     }
 
-    /// Whether the lease is to be renewed before a read has to wait for it.
+    /// Whether the lease should be renewed in the background, before a read has to wait for it.
     pub fn needs_renewal(&self, now: Moment) -> bool {
         self.renewed
             .is_some_and(|renewed| now.since(renewed) > LEADER_LEASE / 2)
     }
 }
 
-/// A mark without the primary: from what the servers that count for a promotion said they had received,
-/// all asked after `asked`, and how many of those there are.
+/// A watermark obtained without the primary, so that bounded-staleness reads are served while the
+/// primary is unreachable and no other can be promoted.
 ///
-/// Load pattern: a primary is cut off or lost while the store is away, so that nobody can be promoted;
-/// for seconds no position of its log can be had, and all reads with an allowance are refused, though
-/// two replicas answer.
-/// A commit that a caller was told of is on its primary and on `sync_replicas` more of those that
-/// count. So if no more than `sync_replicas` of them stay silent, one that answered has it, whoever
-/// leads; the highest position among the answers covers every such commit.
+/// `received` are the log positions that servers reported in answer to requests sent after `asked`,
+/// only servers that count for promotions, of which there are `counted`. A commit confirmed to a
+/// caller is on its primary and on `sync_replicas` more of them. If at most `sync_replicas` of them
+/// did not answer, one that did has the commit, so the highest position covers every such commit.
 pub fn quorum_watermark(
     asked: Moment,
     received: &[Position],
     counted: usize,
     sync_replicas: usize,
 ) -> Option<Watermark> {
-    let enough = sync_replicas > 0 && received.len() + sync_replicas >= counted;
-    let position = received.iter().copied().max().filter(|_| enough)?;
+    let is_quorum = sync_replicas > 0 && received.len() + sync_replicas >= counted;
+    let position = received.iter().copied().max().filter(|_| is_quorum)?;
     Some(Watermark { asked, position })
 }
 
-/// What a server's word says about a primary of `term`.
+/// How a server relates to a primary, judged by its status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Relation {
-    /// It is a replica that follows this primary.
+    /// It is a replica of this primary.
     Follows,
-    /// It follows, or is held for, a later term: the primary is or will be superseded.
+    /// It is in a later term or held for one: the primary has been or will be superseded.
     Supersedes,
-    /// It has not heard of this primary, so it says nothing about it.
+    /// It has not joined the primary's term, so its status proves nothing about the primary.
     Unrelated,
 }
 
-/// Reads the status of a server other than the primary.
+/// Relates the status of another server to the primary of `term`.
 ///
-/// Failure: a server that was cut off comes back in its old term; taken for a follower it would
-/// confirm a primary that it does not know, taken for a rival it would cost the true primary its
-/// lease. Guard: only a replica of the very same term speaks for it.
+/// A server that rejoins after a partition may still be in an earlier term. It must neither confirm a
+/// primary that it does not know nor revoke that primary's lease, so only replicas of the same term
+/// count as followers.
 pub fn relation(status: &Status, term: u64) -> Relation {
     if status.term > term || status.held > term {
         return Relation::Supersedes;
@@ -249,14 +254,15 @@
     }
 }
 
-/// What a read must see to be served.
+/// The log position that a read must see: every commit acknowledged before `since`, and the session's
+/// own writes up to `own`. `None` if no watermark is recent enough.
 pub fn required(since: Moment, marks: &Watermarks, own: Option<Position>) -> Option<Position> {
     let mark = marks.floor(since)?;
     Some(own.map_or(mark.position, |own| own.max(mark.position)))
 }
 
-/// Whether a server whose log ends at `received` has the commit at `commit`. A log that goes on in a
-/// later term may have lost it at the change of the primary.
+/// Whether a server whose log ends at `received` certainly has the commit at `commit`. A log that ends
+/// in a later term may have lost the commit when the primary changed.
 pub fn has_commit(received: Position, commit: Position) -> bool {
     received.term == commit.term && received >= commit
 }
