--- a/crates/engine/src/election.rs
+++ b/crates/engine/src/election.rs
@@ -1,71 +1,66 @@
-//! Who holds the failover duty: one process at a time, by a lease in the store.
+//! Elects the failover leader, the one process at a time that may promote servers, by a lease in the
+//! key-value store.
 //!
-//! The fencing token is the stamp ([`crate::era`]) of the holder's key: it grows with every change of the
-//! store, and when the store comes back from a copy, so a later holder always has a higher one.
+//! The fencing token is the stamp ([`crate::era`]) of the leader's key. Stamps grow with every change
+//! of the store and also when it is restored from a backup, so a later leader has a higher token.
 
 use std::time::Duration;
 
 use crate::{takeover::PROMOTION_COOLDOWN, time::Moment};
 
-/// How long the store keeps the holder's key after its last renewal. Three renewals fit in, so a
-/// lost answer does not end it. A holder that is cut off, or dies with a primary, is replaced within
-/// it: until then nobody may replace a primary.
+/// How long the store keeps the leader's key after the last renewal: several renewal intervals, so
+/// that one lost answer does not end the lease. After a leader fails, no primary can be replaced until
+/// the lease expires.
 pub const LEASE_TTL: Duration = Duration::from_millis(2_000);
 
-/// How often the lease is renewed; a renewal costs a tenth of a read, and only the holder makes
-/// them.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long before its end a lease is not relied on any more. Another process needs most of a
-/// second from the end of the lease to its own promotion, and it waits for
-/// [`PROMOTION_COOLDOWN`] after one that this process has written down.
-const MARGIN: Duration = Duration::from_millis(800);
+/// How long before its expiry a lease is no longer relied on. Another process promotes only some time
+/// after the lease has expired, and not within [`PROMOTION_COOLDOWN`] of a promotion that this process
+/// recorded.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(800);
 
-/// How long a process that has just started leaves a free duty to others: longer than those need to
-/// see that it is free and to claim it.
-const YIELD: Duration = Duration::from_millis(400);
+/// How long a recently started process lets others claim a vacant leadership first.
+const STARTUP_DELAY: Duration = Duration::from_millis(400);
 
-/// How long a process that hears of the store from others leaves a free duty to those that watch it.
-///
-/// Load pattern: the duty falls free and hundreds of processes claim it before they can have heard that one
-/// of them has it, with two calls each. The few that watch the store come first; the others only if
-/// none of those could.
-const LEAVE_TO_FEEDERS: Duration = Duration::from_millis(1_500);
+/// How long a process that receives store changes through a relay lets the relays claim a vacant
+/// leadership first. Otherwise hundreds of processes would send claims to the store before they learn
+/// of the new leader.
+const NON_RELAY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How long after it saw the duty free a process of this `age` claims it at the earliest; `feeds` says
-/// whether it watches the store itself.
+/// The least time between seeing the leadership vacant and claiming it, for a process that started
+/// `age` ago; `is_relay` tells whether it watches the store itself.
 ///
-/// Failure: proxies are stopped and started in turn, and one that has just started takes the duty over
-/// from a holder that was cut off. It cannot know when a group's last promotion was, so it waits for
-/// [`PROMOTION_COOLDOWN`] from its start, and a group whose primary was cut off with the holder has none for as
-/// long. Guard: a process that is older than that goes first, if there is one.
-pub fn claim_delay(age: Duration, feeds: bool) -> Duration {
-    let yielded = match age < PROMOTION_COOLDOWN {
-        true => YIELD,
+/// A recently started process does not know when a group's last promotion was, so it promotes nothing
+/// until [`PROMOTION_COOLDOWN`] after its start. If it became the leader, groups whose primary failed
+/// together with the last leader would stay without one; older processes therefore claim first.
+pub fn claim_delay(age: Duration, is_relay: bool) -> Duration {
+    let startup_delay = match age < PROMOTION_COOLDOWN {
+        true => STARTUP_DELAY,
         false => Duration::ZERO,
     };
-    match feeds {
-        true => yielded,
-        false => yielded + LEAVE_TO_FEEDERS,
+    match is_relay {
+        true => startup_delay,
+        false => startup_delay + NON_RELAY_DELAY,
     }
 }
 
-/// What this process knows of the duty.
+/// What this process knows about the leadership.
 #[derive(Clone, Debug, Default)]
 pub struct Election {
-    /// The holder's name in the store, if its key is there.
+    /// The name in the leader's key, if the key exists.
     holder: Option<String>,
-    /// This process's fencing token, while it holds the duty.
+    /// This process's fencing token, while it is the leader.
     token: Option<u64>,
-    /// Until when this process's lease certainly lasts.
+    /// The earliest time at which this process's lease can expire.
     lease_until: Option<Moment>,
-    /// Until when another process may rely on a lease that the store has lost.
-    others_until: Option<Moment>,
+    /// When every lease that the store lost in a restore has certainly expired.
+    lost_lease_until: Option<Moment>,
 }
 
 impl Election {
-    /// Notes the holder's key as read from the store, or its absence. A key written by another
-    /// process, or anew, ends this one's duty.
+    /// Records the leader's name and its key's stamp as read from the store, or the key's absence. A
+    /// key at another stamp than this process's token ends its leadership.
     pub fn note_holder(&mut self, holder: Option<(&str, u64)>) {
         let revision = holder.map(|(_, revision)| revision);
         if self.token.is_some() && self.token != revision {
@@ -74,64 +69,64 @@
         self.holder = holder.map(|(name, _)| name.to_owned());
     }
 
-    /// Notes that the lease was taken or renewed by a call sent at `sent`.
+    /// Records that the lease was granted or renewed by a request sent at `sent`.
     pub fn note_renewal(&mut self, sent: Moment) {
         self.lease_until = Some(sent + LEASE_TTL);
     }
 
-    /// Notes that the lease has ended.
+    /// Records that the lease has expired or was released.
     pub fn note_expiry(&mut self) {
         self.lease_until = None;
         self.token = None;
     }
 
-    /// Notes that the store came back from a copy, without any lease.
+    /// Records that the store was restored from a backup, without any lease.
     ///
-    /// Failure: the holder has not heard of it and promotes under the lease that it had, while another
-    /// process finds the duty free and promotes as well. Guard: nobody claims it before such a lease
-    /// has run out on the holder's own clock.
+    /// A leader that does not know of the restore still promotes under its old lease, so nobody may
+    /// claim the leadership until such a lease has expired on that leader's clock.
     pub fn note_store_restored(&mut self, now: Moment) {
         self.note_expiry();
-        self.others_until = Some(now + LEASE_TTL);
+        self.lost_lease_until = Some(now + LEASE_TTL);
     }
 
-    /// Whether this process may try to take the duty.
+    /// Whether this process may request a lease to claim the leadership.
     pub fn may_claim(&self, now: Moment) -> bool {
-        let awaited = self.others_until.is_some_and(|until| now < until);
-        self.is_vacant() && !awaited
+        let may_be_held = self.lost_lease_until.is_some_and(|until| now < until);
+        self.is_vacant() && !may_be_held
     }
 
-    /// Notes that this process has written the holder's key at `token`.
+    /// Records that this process has written the leader's key, at the stamp `token`.
     pub fn note_won(&mut self, name: &str, token: u64) {
         self.holder = Some(name.to_owned());
         self.token = Some(token);
     }
 
-    /// Whether nobody holds the duty.
+    /// Whether no process is known to be the leader.
     pub fn is_vacant(&self) -> bool {
         self.holder.is_none()
     }
 
-    /// Whether the holder's key is this process's, as far as is known.
+    /// Whether this process is the leader as far as it knows; its lease may have expired.
     pub fn is_elected(&self) -> bool {
         self.token.is_some()
     }
 
-    /// Whether the duty is free for this process to claim.
+    /// Whether the leadership is vacant and this process's lease lasts long enough to write the key.
     pub fn can_acquire(&self, now: Moment) -> bool {
-        self.is_vacant() && self.lease_lasts(now)
+        self.is_vacant() && self.is_lease_valid(now)
     }
 
-    /// The fencing token, if this process certainly holds the duty long enough for one more call.
+    /// The fencing token, if this process is certain to stay the leader long enough for one more call.
     ///
-    /// Failure: the holder is suspended, its lease lapses, another process promotes, and the first
-    /// wakes and promotes with an older token. Guard: the lease is measured on a clock that counts
-    /// the suspension, from the moment the renewal was sent.
+    /// The lease counts from when its renewal was sent, on a clock that includes suspended time:
+    /// otherwise a leader that was suspended while another was elected would promote with its old
+    /// token.
     pub fn token(&self, now: Moment) -> Option<u64> {
-        self.token.filter(|_| self.lease_lasts(now))
+        self.token.filter(|_| self.is_lease_valid(now))
     }
 
-    fn lease_lasts(&self, now: Moment) -> bool {
-        self.lease_until.is_some_and(|until| now + MARGIN < until)
+    fn is_lease_valid(&self, now: Moment) -> bool {
+        self.lease_until
+            .is_some_and(|until| now + EXPIRY_MARGIN < until)
     }
 }
