--- a/crates/engine/src/isolation.rs
+++ b/crates/engine/src/isolation.rs
@@ -1,49 +1,50 @@
-//! Whether this proxy is cut off with its data centre, so that callers are better served elsewhere.
+//! Detects that this proxy's data centre is partitioned from all others, so that callers are better
+//! served elsewhere.
 //!
-//! Load pattern: a data centre loses the others for seconds; its proxies still get a third of all
-//! callers and can neither write nor, past the staleness allowance, read. Reporting not ready lets
-//! the balancer send new callers to the nearest data centre; sessions at rest are closed once it
-//! has, so that they come back there. A proxy that has lost only the store, or only some servers,
-//! stays ready: it serves as well as any other.
+//! A proxy in a partitioned data centre can serve neither writes nor, beyond the staleness bound,
+//! reads. It reports not ready, so that the load balancer sends new callers to another data centre,
+//! and then closes idle sessions, so that their callers reconnect there. A proxy that has lost only
+//! the store or some of the servers stays ready, as it serves no worse than others.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// How long nothing outside the data centre may have been reached before it counts as cut off: two
-/// rounds of questions, so that one lost packet does not do it.
+/// How long no server outside the data centre must have been reached for it to count as partitioned:
+/// two rounds of connection attempts, so that one lost packet does not suffice.
 pub const ISOLATED_AFTER: Duration = Duration::from_millis(250);
 
-/// How long after that the balancer sends no new callers any more: it asks once a second and takes
-/// a proxy out after the second miss.
+/// How long the load balancer then takes to stop sending new callers: it checks readiness once a
+/// second and removes a proxy after the second failed check.
 pub const BALANCER_DELAY: Duration = Duration::from_millis(2_200);
 
-/// What the proxy knows of its surroundings.
+/// The state of the partition detector.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Isolation {
-    since: Option<Moment>,
+    /// When connection attempts to other data centres began to fail.
+    unreachable_since: Option<Moment>,
 }
 
 impl Isolation {
-    /// Notes whether any server outside the own data centre accepted a connection at `now`.
+    /// Records whether any host outside the data centre accepted a connection at `now`.
     pub fn note(&mut self, reached: bool, now: Moment) {
         match reached {
-            true => self.since = None,
+            true => self.unreachable_since = None,
             false => {
-                self.since.get_or_insert(now);
+                self.unreachable_since.get_or_insert(now);
             }
         }
     }
 
-    /// Whether the data centre counts as cut off.
+    /// Whether the data centre counts as partitioned from the others.
     pub fn is_isolated(&self, now: Moment) -> bool {
-        self.since
+        self.unreachable_since
             .is_some_and(|since| now.since(since) >= ISOLATED_AFTER)
     }
 
-    /// Whether sessions at rest are to be closed, as their callers will be sent elsewhere.
+    /// Whether to close idle sessions: the load balancer now sends reconnecting callers elsewhere.
     pub fn should_close_sessions(&self, now: Moment) -> bool {
-        self.since
+        self.unreachable_since
             .is_some_and(|since| now.since(since) >= ISOLATED_AFTER + BALANCER_DELAY)
     }
 }
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -1,28 +1,28 @@
-//! Whether a server's answers come from one life of it.
+//! Detects statuses that come from another incarnation of a server than the registered one.
 
 use crate::{
     takeover::{has_restarted, Status},
     time::Moment,
 };
 
-/// What one life of a server, as it is registered, has said last.
+/// The last status of a server's registered incarnation.
 ///
-/// Failure: a replica confirms a commit and starts again with an empty log. Its first answer replaces
-/// what was known of it, nothing later is shorter than that, and before its new registration is seen
-/// its word proves what its earlier life knew, or it is held as one of a quorum that lacks the commit.
-/// Guard: what the registered life said last is kept, and an answer of another life is none, until it is
-/// registered as such.
+/// A replica may confirm a commit, restart with an empty log, and answer before its new registration
+/// is seen. Taken for the earlier incarnation, it would prove things that it no longer knows, or be
+/// held in a quorum that lacks the commit. So a status that shows a restart is rejected, and the last
+/// one before it is kept, which also rejects all later statuses with a shorter log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Detector {
     last: Option<(Status, Moment)>,
 }
 
 impl Detector {
-    /// Takes an answer that came by `now` to a question sent at `asked`; whether it may be of this life.
+    /// Whether a status, requested at `asked` and received by `now`, may be from the registered
+    /// incarnation. Records it if so.
     ///
-    /// Answers to questions that were under way together say nothing of each other.
+    /// Statuses of overlapping requests are not compared, as their order is unknown.
     pub fn accepts(&mut self, status: &Status, asked: Moment, now: Moment) -> bool {
-        let before = self.last.filter(|(_, said)| *said <= asked);
+        let before = self.last.filter(|(_, received)| *received <= asked);
         if before.is_some_and(|(before, _)| has_restarted(&before, status)) {
             return false;
         }
--- a/crates/engine/src/share.rs
+++ b/crates/engine/src/share.rs
@@ -1,25 +1,24 @@
-//! How many connections one proxy may keep to one server.
+//! Divides the connections that a server accepts among the proxies.
 
-/// Connections of a server that stay free for proxies that come while old ones still count, and
-/// for the questions of the failover role.
-const RESERVE: u32 = 3;
+/// Connections of each server that are not shared out: for the failover leader's status requests, and
+/// for new proxies while stopped ones still count.
+const RESERVED: u32 = 3;
 
-/// How many connections all proxies together keep for each slot of a server. A transaction holds one
-/// through its caller's pauses, so one a slot is too few; each more lengthens the server's own queue,
-/// where the order of arrival counts and not what is due first.
+/// How many connections all proxies together keep per slot of a server. More than one, because a
+/// transaction holds its connection while its caller is idle; not many more, because a server runs
+/// queued statements in order of arrival rather than by deadline.
 pub const PER_SLOT: usize = 3;
 
-/// The fewest connections a proxy needs to a server: one that a transaction holds must not stop all
-/// other statements.
+/// The least connections of one proxy to a server, so that one held by a transaction does not block
+/// all other statements.
 pub const MIN_PER_PROXY: usize = 2;
 
-/// This proxy's share of the connections to a server with `slots` slots that takes `max_connections`
-/// from `members` live proxies together; at least one.
+/// One proxy's share of the connections to a server with `slots` slots that accepts `max_connections`
+/// from all `members` live proxies together; at least one.
 ///
-/// Load pattern: replicas fall behind, all reads go to the primary, and its queue grows to several
-/// times its slots: every statement is late, and those of transactions several times over. With
-/// fewer connections the work waits in the proxies, by priority and due time, and what would be
-/// late is refused on arrival.
+/// The number of slots limits the share too. Under overload, for example when all reads go to the
+/// primary, statements then wait in the proxies, which order them by priority and deadline and refuse
+/// those that would be late, and not in the server's queue.
 pub fn connections(max_connections: u32, slots: u32, members: usize) -> usize {
     let members = members.max(1);
     let usable = usable(max_connections);
@@ -29,7 +28,7 @@
     (usable / members).min(useful).max(1)
 }
 
-/// How many of a server's connections the proxies share out.
+/// How many of a server's `max_connections` the proxies share.
 pub fn usable(max_connections: u32) -> usize {
-    max_connections.saturating_sub(RESERVE) as usize
+    max_connections.saturating_sub(RESERVED) as usize
 }
--- a/crates/engine/src/time.rs
+++ b/crates/engine/src/time.rs
@@ -1,35 +1,34 @@
-//! The time decisions are made by: passed in, never read here.
+//! Points in time for decisions. The caller passes them in; nothing here reads a clock.
 
 use std::{
     ops::{Add, Sub},
     time::Duration,
 };
 
-/// A moment on a clock that goes on counting while the VM is suspended.
+/// A point in time on a monotonic clock that includes time during which the VM was suspended.
 ///
-/// Failure: a suspended VM wakes and `std::time::Instant` says that no time has passed, so a lease
-/// or a freshness bound that ran out long ago still looks valid. Guard: the daemon fills this from
-/// `CLOCK_BOOTTIME`, which counts suspended time and never jumps.
+/// The daemon takes it from `CLOCK_BOOTTIME`. `std::time::Instant` does not advance while the VM is
+/// suspended, so a lease or staleness bound that expired meanwhile would still look valid.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// The moment `since_boot` after the VM started.
+    /// The point in time `since_boot` after the VM started.
     pub const fn from_boot(since_boot: Duration) -> Self {
         Self(since_boot)
     }
 
-    /// How long after `earlier` this is; zero if it is not after it.
+    /// The time elapsed from `earlier` to this moment, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// How long from now until `later`; zero if it has passed.
+    /// The time left from this moment until `later`, or zero if `later` has passed.
     pub fn until(self, later: Self) -> Duration {
         later.since(self)
     }
 
-    /// Milliseconds since boot, for log lines.
+    /// Milliseconds since the VM started.
     pub fn millis(self) -> u128 {
         self.0.as_millis()
     }
@@ -38,15 +37,15 @@
 impl Add<Duration> for Moment {
     type Output = Self;
 
-    fn add(self, length: Duration) -> Self {
-        Self(self.0 + length)
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0 + duration)
     }
 }
 
 impl Sub<Duration> for Moment {
     type Output = Self;
 
-    fn sub(self, length: Duration) -> Self {
-        Self(self.0.saturating_sub(length))
+    fn sub(self, duration: Duration) -> Self {
+        Self(self.0.saturating_sub(duration))
     }
 }
