--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -2,8 +2,8 @@
 //! (`docs/DESIGN.md`, "Commits are confirmed").
 //!
 //! A primary acknowledges a commit as soon as any replica has received it. That does not prove that
-//! the commit is durable: the replica may not count for promotions, or it may have received the commit
-//! only after a promotion took effect.
+//! the commit is durable: the replica may not count for promotions, or it may have received the
+//! commit only after a promotion took effect.
 
 use dandelionpitch_core::position::Position;
 
@@ -14,7 +14,7 @@
     time::Moment,
 };
 
-/// How current the proxy's list of the servers that count for promotions is.
+/// How current the proxy's list of the servers that count for promotions ([`crate::roster`]) is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Membership {
     /// Read from the store within [`crate::roster::LIST_VALIDITY`].
@@ -93,15 +93,15 @@
         !self.holders.is_empty()
     }
 
-    /// Whether the caller may be told that the commit succeeded. `lease` is that of the primary that
-    /// made the commit, if it is still known as the primary of the commit's term. `others` are all
-    /// other servers, including those that count for promotions but are no longer registered.
+    /// Whether the caller may be told that the commit succeeded. `lease` is that of the primary
+    /// that made the commit, if it is still known as the primary of the commit's term. `others` are
+    /// all other servers, including those that count for promotions but are no longer registered.
     ///
     /// When a promotion takes effect, the holds on the replicas end. A replica that the new primary
     /// does not reach may then receive the commit from the old one, and the commit is rolled back
-    /// later. So confirmation by `sync_replicas` replicas suffices only while the lease proves that no
-    /// promotion can have taken effect. Without a lease all other servers must have the commit, and
-    /// with them whichever of them is promoted.
+    /// later. So confirmation by `sync_replicas` replicas suffices only while the lease proves that
+    /// no promotion can have taken effect. Without a lease all other servers must have the commit,
+    /// so that it survives the promotion of any of them.
     pub fn is_durable(
         &self,
         lease: Option<&Lease>,
@@ -122,12 +122,13 @@
     /// primary `leader`.
     ///
     /// The record was requested after enough servers that count had the commit, and it shows no
-    /// promotion after that of `leader`. A later failover requests its members' statuses again after
-    /// writing the record, and finds the commit on those servers.
+    /// promotion after that of `leader`. A later failover requests its members' statuses again
+    /// after writing the record, and finds the commit on those servers.
     ///
-    /// The record also names `leader` if another server was promoted and then `leader` once more, and
-    /// a server may have reported the commit in between. The report must therefore be more recent than
-    /// [`PROMOTION_WAIT`], the least time between such a report and the second promotion.
+    /// The record also names `leader` if another server was promoted and then `leader` once more,
+    /// and a server may have reported the commit in between. The report must therefore be less than
+    /// [`PROMOTION_WAIT`] old when the record is requested: at least that time passes between such
+    /// a report and the second promotion.
     pub fn is_durable_by_record(&self, record: &Snapshot, leader: &Incarnation) -> bool {
         let promoted = record.promoted.as_deref();
         let leads = promoted.is_none_or(|promoted| promoted == leader.id);
--- a/crates/engine/src/election.rs
+++ b/crates/engine/src/election.rs
@@ -1,39 +1,41 @@
-//! Elects the failover leader, the one process at a time that may promote servers, by a lease in the
-//! key-value store.
+//! Elects the failover leader, the one process at a time that may promote servers, by a lease in
+//! the key-value store.
 //!
-//! The fencing token is the stamp ([`crate::era`]) of the leader's key. Stamps grow with every change
-//! of the store and also when it is restored from a backup, so a later leader has a higher token.
+//! The fencing token is the stamp ([`crate::era`]) of the leader's key. Stamps grow with every
+//! change of the store and also when it is restored from a backup, so a later leader has a higher
+//! token.
 
 use std::time::Duration;
 
 use crate::{takeover::PROMOTION_COOLDOWN, time::Moment};
 
 /// How long the store keeps the leader's key after the last renewal: several renewal intervals, so
-/// that one lost answer does not end the lease. After a leader fails, no primary can be replaced until
-/// the lease expires.
+/// that one lost answer does not end the lease. After a leader fails, no primary can be replaced
+/// until the lease expires.
 pub const LEASE_TTL: Duration = Duration::from_millis(2_000);
 
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long before its expiry a lease is no longer relied on. Another process promotes only some time
-/// after the lease has expired, and not within [`PROMOTION_COOLDOWN`] of a promotion that this process
-/// recorded.
+/// How long before its expiry a lease is no longer relied on. Another process promotes only some
+/// time after the lease has expired, and not within [`PROMOTION_COOLDOWN`] of a promotion that this
+/// process recorded.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(800);
 
 /// How long a recently started process lets others claim a vacant leadership first.
 const STARTUP_DELAY: Duration = Duration::from_millis(400);
 
 /// How long a process that receives store changes through a relay lets the relays claim a vacant
-/// leadership first. Otherwise hundreds of processes would send claims to the store before they learn
-/// of the new leader.
+/// leadership first. Otherwise hundreds of processes would send claims to the store before they
+/// learn of the new leader.
 const NON_RELAY_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The least time between seeing the leadership vacant and claiming it, for a process that started
 /// `age` ago; `is_relay` tells whether it watches the store itself.
 ///
-/// A recently started process does not know when a group's last promotion was, so it promotes nothing
-/// until [`PROMOTION_COOLDOWN`] after its start. If it became the leader, groups whose primary failed
-/// together with the last leader would stay without one; older processes therefore claim first.
+/// A recently started process does not know when a group's last promotion was, so it promotes
+/// nothing until [`PROMOTION_COOLDOWN`] after its start. If it became the leader, groups whose
+/// primary failed together with the last leader would stay without one; older processes therefore
+/// claim first.
 pub fn claim_delay(age: Duration, is_relay: bool) -> Duration {
     let startup_delay = match age < PROMOTION_COOLDOWN {
         true => STARTUP_DELAY,
@@ -59,8 +61,8 @@
 }
 
 impl Election {
-    /// Records the leader's name and its key's stamp as read from the store, or the key's absence. A
-    /// key at another stamp than this process's token ends its leadership.
+    /// Records the leader's name and its key's stamp as read from the store, or the key's absence.
+    /// A key at another stamp than this process's token ends its leadership.
     pub fn note_holder(&mut self, holder: Option<(&str, u64)>) {
         let revision = holder.map(|(_, revision)| revision);
         if self.token.is_some() && self.token != revision {
@@ -111,12 +113,14 @@
         self.token.is_some()
     }
 
-    /// Whether the leadership is vacant and this process's lease lasts long enough to write the key.
+    /// Whether the leadership is vacant and this process's lease lasts long enough to write the
+    /// key.
     pub fn can_acquire(&self, now: Moment) -> bool {
         self.is_vacant() && self.is_lease_valid(now)
     }
 
-    /// The fencing token, if this process is certain to stay the leader long enough for one more call.
+    /// The fencing token, if this process is certain to stay the leader long enough for one more
+    /// call.
     ///
     /// The lease counts from when its renewal was sent, on a clock that includes suspended time:
     /// otherwise a leader that was suspended while another was elected would promote with its old
--- a/crates/engine/src/fence.rs
+++ b/crates/engine/src/fence.rs
@@ -1,10 +1,10 @@
 //! One failover attempt: which members are fenced, and which server may be promoted.
 //!
-//! The process that runs the attempt orders the primary to step down and the replicas to be held, so
-//! that they receive nothing until the promotion. `docs/DESIGN.md`, "Failover" proves that no
-//! acknowledged commit is lost: a new primary is chosen only once the old one can no longer
-//! acknowledge commits, and only from a set of logs at least one of which holds every acknowledged
-//! commit.
+//! The process that runs the attempt orders the primary to step down and the replicas to pause
+//! replication. A replica that has paused is held: it receives nothing until the promotion takes
+//! effect or the attempt is abandoned. `docs/DESIGN.md`, "Failover" proves that no acknowledged
+//! commit is lost: a new primary is chosen only once the old one can no longer acknowledge commits,
+//! and only from a set of logs at least one of which holds every acknowledged commit.
 
 use dandelionpitch_core::position::Position;
 
@@ -68,8 +68,8 @@
 }
 
 impl Fence {
-    /// Starts an attempt in a group of `members`, `quorum` of which have to be held. `newest` is the
-    /// newest known term, and `last` the server promoted last, if any.
+    /// Starts an attempt in a group of `members`, `quorum` of which have to be held. `newest` is
+    /// the newest known term, and `last` the server promoted last, if any.
     pub fn new(members: &[Member], newest: u64, last: Option<&str>, quorum: usize) -> Self {
         let leader = takeover::leader(members)
             .filter(|(_, status)| status.term >= newest)
@@ -107,11 +107,11 @@
 
     /// Records a member's answer to its order.
     ///
-    /// A server that was told to step down may have become a replica of a newer primary earlier; its
-    /// answer then looks as if the primary had stepped down, while the newer one keeps acknowledging
-    /// commits. So stepping down counts only for a server that reported itself as the primary of the
-    /// newest term, with no later promotion, and a member already in the attempt's term ends the
-    /// attempt.
+    /// A server that was told to step down may have become a replica of a newer primary earlier;
+    /// its answer then looks as if the primary had stepped down, while the newer one keeps
+    /// acknowledging commits. So stepping down counts only for a server that reported itself as the
+    /// primary of the newest term, with no later promotion, and a member already in the attempt's
+    /// term ends the attempt.
     pub fn note(&mut self, member: &Member, after: &Status) -> Response {
         if has_restarted(member, after) {
             return Response::Restarted;
@@ -147,14 +147,15 @@
         }
     }
 
-    /// Checks that the choice is still safe, from statuses requested after the promotion was recorded
-    /// in the store.
+    /// Checks that the choice is still safe, from statuses requested after the promotion was
+    /// recorded in the store.
     ///
-    /// A held server that restarts is no longer held and may confirm commits of the old primary that
-    /// the promoted server lacks, and the chosen server may lose its log. A held log does not change,
-    /// so the members that the choice depends on, including the chosen one, must report that they are
-    /// still fenced with the same log. A commit confirmed because the store showed no promotion was on
-    /// its replicas before the record was written, so it is in the logs compared here.
+    /// A held server that restarts is no longer held and may confirm commits of the old primary
+    /// that the promoted server lacks, and the chosen server may lose its log. A held log does not
+    /// change, so the members that the choice depends on, including the chosen one, must report
+    /// that they are still fenced with the same log. A commit confirmed because the store showed no
+    /// promotion was on its replicas before the record was written, so it is in the logs compared
+    /// here.
     ///
     /// # Errors
     ///
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Whether a member is still fenced with the same log; `None` if the choice does not depend on it.
+    /// Whether a member is still fenced with the same log; `None` if the choice does not depend on
+    /// it.
     fn is_unchanged(&self, id: &Incarnation, status: &Status) -> Option<bool> {
         if status.term >= self.term {
             return Some(false);
@@ -228,10 +230,10 @@
 
 /// The server to promote, or `None` if no safe choice exists.
 ///
-/// `fenced` are the members held as replicas, and `stepped_down` is the old primary if it has stepped
-/// down. Two cases are safe. If a [`quorum`] is held, the longest of their logs has every acknowledged
-/// commit. If the old primary stepped down, its own log has them all, so the choice is a held server
-/// whose log is at least as long, or the old primary itself.
+/// `fenced` are the members held as replicas, and `stepped_down` is the old primary if it has
+/// stepped down. Two cases are safe. If a [`quorum`] is held, the longest of their logs has every
+/// acknowledged commit. If the old primary stepped down, its own log has them all, so the choice is
+/// a held server whose log is at least as long, or the old primary itself.
 pub fn choose<'a>(
     quorum: usize,
     fenced: &'a [Fenced],
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -1,6 +1,7 @@
 //! Decides what a read must see to satisfy its consistency level, without trusting the lag that
-//! replicas report: from watermarks, which are positions of the primary's log with the times at which
-//! they were requested, and from a leader lease, which proves that the known primary still leads.
+//! replicas report: from watermarks, which are positions of the primary's log with the times at
+//! which they were requested, and from a leader lease, which proves that the known primary still
+//! leads.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -16,14 +17,15 @@
 /// confirmation is valid.
 pub const LEADER_LEASE: Duration = Duration::from_millis(500);
 
-/// How long a failover waits between holding the replicas and the promotion: the lease, plus a margin
-/// for the time that a status request takes to reach a replica.
+/// How long a failover waits between holding the replicas and the promotion: the lease, plus a
+/// margin for the time that a status request takes to reach a replica.
 pub const PROMOTION_WAIT: Duration = Duration::from_millis(550);
 
 /// The least time between two stored watermarks; closer ones replace each other.
 const MIN_SPACING: Duration = Duration::from_millis(50);
 
-/// The number of watermarks kept: with [`MIN_SPACING`], more than the largest staleness bound needs.
+/// The number of watermarks kept: with [`MIN_SPACING`], more than the largest staleness bound
+/// needs.
 const CAPACITY: usize = 128;
 
 /// A position of the primary's log and the time at which it was requested: the log up to `position`
@@ -45,11 +47,11 @@
 impl Watermarks {
     /// Adds a position of the primary's log that was requested while its lease was valid.
     ///
-    /// A position of a later term drops the earlier watermarks: the old primary's log may have ended
-    /// in entries that were rolled back, which no server will ever have again.
+    /// A position of a later term drops the earlier watermarks: the old primary's log may have
+    /// ended in entries that were rolled back, which no server will ever have again.
     ///
-    /// A position lower than the last one is ignored: a log does not become shorter within a term, so
-    /// it comes from a primary that restarted with an empty log, and reads would miss commits.
+    /// A position lower than the last one is ignored: a log does not become shorter within a term,
+    /// so it comes from a primary that restarted with an empty log, and reads would miss commits.
     pub fn note(&mut self, mark: Watermark) {
         if let Some(last) = self.marks.back().copied() {
             let lower = mark.position < last.position && mark.asked >= last.asked;
@@ -87,9 +89,9 @@
 
     /// The newest position that the primary's log is known to have had.
     ///
-    /// Linearizable reads run only on a log that reaches this position. A primary that restarts under
-    /// its id with an empty log keeps its lease, as no other server leads, and would otherwise serve
-    /// reads that miss every commit.
+    /// Linearizable reads run only on a log that reaches this position. A primary that restarts
+    /// under its id with an empty log keeps its lease, as no other server leads, and would
+    /// otherwise serve reads that miss every commit.
     pub fn newest_position(&self) -> Option<Position> {
         self.newest()
             .map(|mark| mark.position)
@@ -104,9 +106,9 @@
 
 /// What the other members reported about the primary in answer to requests sent after `asked`.
 ///
-/// A poll extends the lease from `asked`. One with too few followers to start a lease can only renew
-/// it, and only if the answers arrived within [`PROMOTION_WAIT`] of the poll behind the last grant or
-/// renewal: later answers may be from after a promotion.
+/// A poll extends the lease from `asked`. One with too few followers to start a lease can only
+/// renew it, and only if the answers arrived within [`PROMOTION_WAIT`] of the poll behind the last
+/// grant or renewal: later answers may be from after a promotion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
     pub asked: Moment,
@@ -135,8 +137,8 @@
         self.followers >= self.sync_replicas.max(1)
     }
 
-    /// Whether at least one of the followers would have received any commit that a newer primary had
-    /// acknowledged: each needs `sync_replicas` members besides that primary.
+    /// Whether at least one of the followers would have received any commit that a newer primary
+    /// had acknowledged: each needs `sync_replicas` members besides that primary.
     fn intersects_commit_quorum(&self) -> bool {
         let others = self.others + self.unregistered;
         self.followers >= others.saturating_sub(self.sync_replicas).max(1)
@@ -147,11 +149,11 @@
 ///
 /// A promotion releases the held replicas, and until they hear of the new primary they look as if
 /// they followed the old one. So a lease starts only when all other members follow the primary.
-/// Fewer can renew it, but only within [`PROMOTION_WAIT`] of the last time, too short for a failover
-/// to hold the replicas and promote a server. A poll that does neither but intersects every commit
-/// quorum covers only reads that arrived before its requests were sent: if a newer primary had
-/// acknowledged a commit by then, one of the replicas polled would have it and would not follow the
-/// old primary.
+/// Fewer can renew it, but only within [`PROMOTION_WAIT`] of the last time, too short for a
+/// failover to hold the replicas and promote a server. A poll that does neither but intersects
+/// every commit quorum covers only reads that arrived before its requests were sent: if a newer
+/// primary had acknowledged a commit by then, one of the replicas polled would have it and would
+/// not follow the old primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
     /// Reads that arrived no later than this see every commit on the primary.
@@ -173,12 +175,12 @@
     }
 
     /// Starts or renews the lease because the group's record in the store shows no promotion after
-    /// the primary's own, and enough replicas followed the primary when polled at `followed`, before
-    /// the record was requested.
+    /// the primary's own, and enough replicas followed the primary when polled at `followed`,
+    /// before the record was requested.
     ///
-    /// A failover records its promotion before it rechecks its members and requests the promotion. One
-    /// not yet recorded had held none of those replicas at `followed`, and has to hold at least one of
-    /// them for [`PROMOTION_WAIT`] before it promotes.
+    /// A failover records its promotion before it rechecks its members and requests the promotion.
+    /// One not yet recorded had held none of those replicas at `followed`, and has to hold at least
+    /// one of them for [`PROMOTION_WAIT`] before it promotes.
     pub fn renew_from_record(&mut self, followed: Moment) {
         self.renewed = self.renewed.max(Some(followed));
         self.until = self.until.max(Some(followed + LEADER_LEASE));
@@ -195,9 +197,9 @@
         self.until.is_some_and(|until| at <= until)
     }
 
-    /// Whether no promotion can have taken effect by `at`. Unlike [`Self::covers`] this needs a grant or
-    /// renewal of the lease: a poll of fewer members proves only that no newer primary had acknowledged
-    /// a commit.
+    /// Whether no promotion can have taken effect by `at`. Unlike [`Self::covers`] this needs a
+    /// grant or renewal of the lease: a poll of fewer members proves only that no newer primary had
+    /// acknowledged a commit.
     pub fn excludes_promotion(&self, at: Moment) -> bool {
         self.renewed
             .is_some_and(|renewed| at <= renewed + LEADER_LEASE)
@@ -241,9 +243,9 @@
 
 /// Relates the status of another server to the primary of `term`.
 ///
-/// A server that rejoins after a partition may still be in an earlier term. It must neither confirm a
-/// primary that it does not know nor revoke that primary's lease, so only replicas of the same term
-/// count as followers.
+/// A server that rejoins after a partition may still be in an earlier term. It must neither confirm
+/// a primary that it does not know nor revoke that primary's lease, so only replicas of the same
+/// term count as followers.
 pub fn relation(status: &Status, term: u64) -> Relation {
     if status.term > term || status.held > term {
         return Relation::Supersedes;
@@ -254,15 +256,15 @@
     }
 }
 
-/// The log position that a read must see: every commit acknowledged before `since`, and the session's
-/// own writes up to `own`. `None` if no watermark is recent enough.
+/// The log position that a read must see: every commit acknowledged before `since`, and the
+/// session's own writes up to `own`. `None` if no watermark is recent enough.
 pub fn required(since: Moment, marks: &Watermarks, own: Option<Position>) -> Option<Position> {
     let mark = marks.floor(since)?;
     Some(own.map_or(mark.position, |own| own.max(mark.position)))
 }
 
-/// Whether a server whose log ends at `received` certainly has the commit at `commit`. A log that ends
-/// in a later term may have lost the commit when the primary changed.
+/// Whether a server whose log ends at `received` certainly has the commit at `commit`. A log that
+/// ends in a later term may have lost the commit when the primary changed.
 pub fn has_commit(received: Position, commit: Position) -> bool {
     received.term == commit.term && received >= commit
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,6 +1,6 @@
-//! The decision logic of the proxy, free of I/O: nothing here reads a clock, opens a socket or blocks.
-//! Callers pass in the time and carry out the returned decisions, so that tests can script every event
-//! (`docs/DESIGN.md`, "Engine").
+//! The decision logic of the proxy, free of I/O: nothing here reads a clock, opens a socket or
+//! blocks. Callers pass in the time and carry out the returned decisions, so that tests can script
+//! every event (`docs/DESIGN.md`, "Engine").
 
 pub mod admission;
 pub mod catalog;
--- a/crates/engine/src/registry.rs
+++ b/crates/engine/src/registry.rs
@@ -13,8 +13,8 @@
 pub const MISSING_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// How long a server still accepts work, if no other server can run it, after it may have announced
-/// that it will stop. Shorter than the time the platform gives it (7 s), so that in-flight statements
-/// finish.
+/// that it will stop. Shorter than the time the platform gives it (7 s), so that in-flight
+/// statements finish.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(5_000);
 
 /// A server's role by its own report.
@@ -24,8 +24,9 @@
     Replica,
 }
 
-/// One incarnation of a backend server. A server that restarts under its id has an empty log and has
-/// lost the orders it was given, so nothing known of the earlier incarnation applies to the new one.
+/// One incarnation of a backend server. A server that restarts under its id has an empty log and
+/// has lost the orders it was given, so nothing known of the earlier incarnation applies to the new
+/// one.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Deserialize, Serialize)]
 #[display("{id}@{born}")]
 #[serde(from = "String", into = "String")]
@@ -110,12 +111,12 @@
 }
 
 impl Registry {
-    /// Notes that no change of the store up to `moment` was missed. Before the first one that is the
-    /// start of the VM.
+    /// Notes that no change of the store up to `moment` was missed. Before the first one that is
+    /// the start of the VM.
     ///
-    /// The store may be unreachable when a server announces that it will stop. The drain period counts
-    /// from the last synced time, not from when the proxy learns of the announcement: by then the
-    /// server may be about to stop.
+    /// The store may be unreachable when a server announces that it will stop. The drain period
+    /// counts from the last synced time, not from when the proxy learns of the announcement: by
+    /// then the server may be about to stop.
     pub fn note_synced(&mut self, moment: Moment) {
         self.synced_until = Some(moment);
     }
@@ -189,8 +190,8 @@
         self.replace(servers, now);
     }
 
-    /// Drops servers that have been missing for [`MISSING_TIMEOUT`]; returns their ids. Must be called
-    /// only while the store answers, so that outages do not count.
+    /// Drops servers that have been missing for [`MISSING_TIMEOUT`]; returns their ids. Must be
+    /// called only while the store answers, so that outages do not count.
     pub fn expire(&mut self, now: Moment) -> Vec<String> {
         let is_expired = |entry: &Entry| {
             entry
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -7,10 +7,11 @@
 
 /// The last status of a server's registered incarnation.
 ///
-/// A replica may confirm a commit, restart with an empty log, and answer before its new registration
-/// is seen. Taken for the earlier incarnation, it would prove things that it no longer knows, or be
-/// held in a quorum that lacks the commit. So a status that shows a restart is rejected, and the last
-/// one before it is kept, which also rejects all later statuses with a shorter log.
+/// A replica may confirm a commit, restart with an empty log, and answer before its new
+/// registration is seen. Taken for the earlier incarnation, it would prove things that it no longer
+/// knows, or be held in a quorum that lacks the commit. So a status that shows a restart is
+/// rejected, and the last one before it is kept, which also rejects all later statuses with a
+/// shorter log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Detector {
     last: Option<(Status, Moment)>,
--- a/crates/engine/src/roster.rs
+++ b/crates/engine/src/roster.rs
@@ -22,16 +22,17 @@
 /// How long a proxy may use the list of servers that it last read from the store: longer than the
 /// longest request of its watch.
 ///
-/// A replica and a proxy may be partitioned from the store together. The replica is then dropped from
-/// the list, and the proxy would confirm commits that no quorum of the new list has. So a proxy with
-/// an older list does not rely on single replicas, and a vanished server is dropped only if the
-/// others have what the primary had after every proxy's list with that server had expired.
+/// A replica and a proxy may be partitioned from the store together. The replica is then dropped
+/// from the list, and the proxy would confirm commits that no quorum of the new list has. So a
+/// proxy with an older list does not rely on single replicas, and a vanished server is dropped only
+/// if the others have what the primary had after every proxy's list with that server had expired.
 pub const LIST_VALIDITY: Duration = Duration::from_millis(6_000);
 
 /// The servers of one group that count for promotions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Roster {
-    /// Servers that are no longer registered, and when each was found to be gone or was last in use.
+    /// Servers that are no longer registered, and when each was found to be gone or was last in
+    /// use.
     vanished: Map<Incarnation, Moment>,
     /// Registered servers.
     present: Vec<Incarnation>,
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Notes that a vanished server is still in use at `now`, so that it may yet be alone in confirming
-    /// a commit, and keeps it on the list accordingly.
+    /// Notes that a vanished server is still in use at `now`, so that it may yet be alone in
+    /// confirming a commit, and keeps it on the list accordingly.
     pub fn note_in_use(&mut self, id: &Incarnation, now: Moment) {
         if let Some(since) = self.vanished.get_mut(id) {
             *since = now;
--- a/crates/engine/src/share.rs
+++ b/crates/engine/src/share.rs
@@ -1,7 +1,7 @@
 //! Divides the connections that a server accepts among the proxies.
 
-/// Connections of each server that are not shared out: for the failover leader's status requests, and
-/// for new proxies while stopped ones still count.
+/// Connections of each server that are not shared out: for the failover leader's status requests,
+/// and for new proxies while stopped ones still count.
 const RESERVED: u32 = 3;
 
 /// How many connections all proxies together keep per slot of a server. More than one, because a
@@ -13,12 +13,12 @@
 /// all other statements.
 pub const MIN_PER_PROXY: usize = 2;
 
-/// One proxy's share of the connections to a server with `slots` slots that accepts `max_connections`
-/// from all `members` live proxies together; at least one.
+/// One proxy's share of the connections to a server with `slots` slots that accepts
+/// `max_connections` from all `members` live proxies together; at least one.
 ///
 /// The number of slots limits the share too. Under overload, for example when all reads go to the
-/// primary, statements then wait in the proxies, which order them by priority and deadline and refuse
-/// those that would be late, and not in the server's queue.
+/// primary, statements then wait in the proxies, which order them by priority and deadline and
+/// refuse those that would be late, and not in the server's queue.
 pub fn connections(max_connections: u32, slots: u32, members: usize) -> usize {
     let members = members.max(1);
     let usable = usable(max_connections);
--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/takeover.rs
@@ -1,8 +1,8 @@
 //! Whether a group's primary has to be replaced, and by which server.
 //!
 //! `docs/DESIGN.md`, "Failover" proves that no acknowledged commit is lost: a new primary is chosen
-//! only once the old one can no longer acknowledge commits, and only from a set of logs at least one
-//! of which holds every acknowledged commit.
+//! only once the old one can no longer acknowledge commits, and only from a set of logs at least
+//! one of which holds every acknowledged commit.
 
 use std::time::Duration;
 
@@ -19,15 +19,15 @@
 
 /// The longest time that a status request takes to fail. If more has passed, this process was
 /// suspended or starved of CPU meanwhile and knows nothing about that period.
-const MAX_REQUEST_AGE: Duration = Duration::from_millis(500);
+const MAX_REQUEST_DURATION: Duration = Duration::from_millis(500);
 
-/// The start of a server's unreachable period, given a status request sent at `asked` that failed by
-/// `now`.
+/// The start of a server's unreachable period, given a status request sent at `asked` that failed
+/// by `now`.
 ///
 /// Starts the period at `now` if this process was suspended during the request. Otherwise it would
 /// find its timeouts expired when it resumes and replace a healthy primary.
 pub fn lost_since(asked: Moment, now: Moment) -> Moment {
-    match now.since(asked) > MAX_REQUEST_AGE {
+    match now.since(asked) > MAX_REQUEST_DURATION {
         true => now,
         false => asked,
     }
@@ -48,14 +48,14 @@
 /// interval at which replicas of a healthy group are polled.
 const SUSPECT_AFTER: Duration = Duration::from_millis(550);
 
-/// How long a failover leader waits after another process's promotion in the same group. Longer than
-/// the failover leader's lease, so that two leaders do not replace the same primary in turn.
+/// How long a failover leader waits after another process's promotion in the same group. Longer
+/// than the failover leader's lease, so that two leaders do not replace the same primary in turn.
 pub const PROMOTION_COOLDOWN: Duration = Duration::from_secs(5);
 
 /// How long after its call a promotion may still take effect, including delays of the call itself.
 ///
-/// No other server is promoted until the promoted one is seen leading or this time has passed. If the
-/// answer to the call is lost and a second server were promoted, the first promotion could take
+/// No other server is promoted until the promoted one is seen leading or this time has passed. If
+/// the answer to the call is lost and a second server were promoted, the first promotion could take
 /// effect late and release the holds; commits that its server acknowledges would then be lost.
 const PROMOTION_EFFECT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
@@ -67,8 +67,8 @@
     pub term: u64,
     /// The end of its log.
     pub received: Position,
-    /// The term of the promotion for which the server is held, or zero. A held replica accepts no log
-    /// entries from the current primary.
+    /// The term of the promotion for which the server is held, or zero. A held replica accepts no
+    /// log entries from the current primary.
     pub held: u64,
 }
 
@@ -78,7 +78,7 @@
     /// No request has completed yet.
     Unknown,
     Answered(Status),
-    /// Unreachable since then.
+    /// Unreachable since the given time.
     Lost {
         since: Moment,
     },
@@ -269,8 +269,8 @@
     }
 
     /// How long no replica has made progress. Replicas are polled less often than the primary, so
-    /// their positions are compared with the primary's position at the start of that period, not with
-    /// its current one.
+    /// their positions are compared with the primary's position at the start of that period, not
+    /// with its current one.
     fn unreplicated_for(
         &mut self,
         written: Position,
@@ -322,8 +322,8 @@
 ///
 /// A busy server's last status may be older than its promotion, while others already follow it; the
 /// group then looks leaderless, and replacing the healthy primary would lose acknowledged commits.
-/// Only a status requested after the newest term was first reported rules its server out, or one that
-/// is in the newest term itself, as that server follows another.
+/// Only a status requested after the newest term was first reported rules its server out, or one
+/// that is in the newest term itself, as that server follows another.
 fn may_lead(member: &Member, (term, first_reported): (u64, Moment)) -> bool {
     match member.sight {
         Sight::Unknown => true,
@@ -352,8 +352,8 @@
     lost.min()
 }
 
-/// The member that leads the newest term. A primary of an earlier term has been replaced, even if it
-/// has not noticed yet.
+/// The member that leads the newest term. A primary of an earlier term has been replaced, even if
+/// it has not noticed yet.
 pub fn leader(members: &[Member]) -> Option<(&Member, Status)> {
     let term = newest_term(members);
     members
@@ -365,8 +365,8 @@
 /// The highest term that any member has followed or led.
 ///
 /// Terms for which members are held do not count, so all attempts against one primary hold replicas
-/// for the same term. If each abandoned attempt raised it, replicas would stay held above the term of
-/// the server that is finally promoted, and its commits would wait forever.
+/// for the same term. If each abandoned attempt raised it, replicas would stay held above the term
+/// of the server that is finally promoted, and its commits would wait forever.
 pub fn newest_term(members: &[Member]) -> u64 {
     let statuses = members.iter().filter_map(Member::status);
     statuses.map(|status| status.term).max().unwrap_or_default()
@@ -374,10 +374,10 @@
 
 /// Whether a server that reported `before` and later `after` has restarted in between.
 ///
-/// A log is truncated only when the term changes, so a log that became shorter within a term belongs
-/// to a new incarnation. A replica may confirm a commit and restart with an empty log before its new
-/// registration is seen; counted in a promotion quorum, it would let a server without the commit be
-/// promoted.
+/// A log is truncated only when the term changes, so a log that became shorter within a term
+/// belongs to a new incarnation. A replica may confirm a commit and restart with an empty log
+/// before its new registration is seen; counted in a promotion quorum, it would let a server
+/// without the commit be promoted.
 pub fn has_restarted(before: &Status, after: &Status) -> bool {
     after.term <= before.term && after.received < before.received
 }
