--- a/crates/engine/src/roster.rs
+++ b/crates/engine/src/roster.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Applies the current members, and drops vanished servers whose commits the others all have.
+    /// Applies the current members, and drops vanished servers whose commits enough others have.
     pub fn update(&mut self, members: &[Member], now: Moment) {
         let is_member = |id: &Incarnation| members.iter().any(|member| member.id == *id);
         for id in std::mem::take(&mut self.present) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Drops vanished servers whose commits the others all have, as another process has found.
+    /// Drops vanished servers whose commits enough others have, as another process has found.
     pub fn remove_covered(&mut self, covered: &[Incarnation]) {
         self.vanished.retain(|id, _| !covered.contains(id));
     }
