--- a/crates/engine/src/registry.rs
+++ b/crates/engine/src/registry.rs
@@ -226,7 +226,7 @@
     }
 
     /// The servers of one group, sorted by incarnation.
-    pub fn of(&self, service: &str) -> Vec<Entry> {
+    pub fn servers_of(&self, service: &str) -> Vec<Entry> {
         let mut found: Vec<Entry> = self
             .entries
             .values()
--- a/crates/engine/tests/control.rs
+++ b/crates/engine/tests/control.rs
@@ -78,7 +78,7 @@
     };
     registry.put(primary, at(500));
 
-    assert_eq!(registry.of("ledger")[0].leaving_since, Some(at(0)));
+    assert_eq!(registry.servers_of("ledger")[0].leaving_since, Some(at(0)));
 }
 
 /// The store turns a proxy away for nine seconds. Meanwhile a server says that it leaves, and when the
@@ -98,10 +98,10 @@
     registry.put(leaving.clone(), at(9_000));
     watching.put(leaving, at(9_000));
 
-    assert!(!registry.of("ledger")[0].takes_work(at(9_000)));
-    assert!(watching.of("ledger")[0].takes_work(at(9_000)));
-    assert!(watching.of("ledger")[0].takes_work(at(13_800)));
-    assert!(!watching.of("ledger")[0].takes_work(at(14_000)));
+    assert!(!registry.servers_of("ledger")[0].takes_work(at(9_000)));
+    assert!(watching.servers_of("ledger")[0].takes_work(at(9_000)));
+    assert!(watching.servers_of("ledger")[0].takes_work(at(13_800)));
+    assert!(!watching.servers_of("ledger")[0].takes_work(at(14_000)));
 }
 
 /// A process starts and finds a server leaving: since when, it cannot know.
@@ -117,7 +117,7 @@
     registry.replace(vec![leaving, server("b")], at(0));
 
     let takes = registry
-        .of("ledger")
+        .servers_of("ledger")
         .iter()
         .map(|e| e.takes_work(at(0)))
         .collect::<Vec<_>>();
@@ -226,7 +226,7 @@
 
     let began = registry.put(life("a", 2_000, false), at(8_000));
     let late = registry.put(life("a", 1_000, true), at(8_100));
-    let entry = registry.of("ledger").remove(0);
+    let entry = registry.servers_of("ledger").remove(0);
 
     assert!(began && !late);
     assert_eq!(entry.server.incarnation.born, 2_000);
@@ -259,9 +259,9 @@
     registry.put(leaving, at(100));
 
     registry.restore(vec![server("a")], at(200));
-    let restored = registry.of("ledger")[0].server.leaving;
+    let restored = registry.servers_of("ledger")[0].server.leaving;
     registry.put(server("a"), at(300));
 
     assert!(restored);
-    assert!(!registry.of("ledger")[0].server.leaving);
+    assert!(!registry.servers_of("ledger")[0].server.leaving);
 }
--- a/crates/engine/tests/interleavings/follower.rs
+++ b/crates/engine/tests/interleavings/follower.rs
@@ -112,7 +112,7 @@
     }
 
     pub fn entries(&self) -> Vec<Entry> {
-        self.registry.of(GROUP)
+        self.registry.servers_of(GROUP)
     }
 }
 
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -94,7 +94,7 @@
 
     /// The servers of a group and what is noted of them.
     pub fn servers_of(&self, service: &str) -> Vec<Entry> {
-        self.registry.borrow().of(service)
+        self.registry.borrow().servers_of(service)
     }
 
     /// The groups of the configuration in force.
@@ -335,7 +335,7 @@
         let catalog = self.catalog.borrow().clone();
         let mut servers = Map::default();
         for service in catalog.iter().flat_map(|catalog| catalog.services.keys()) {
-            servers.insert(service.clone(), registry.of(service));
+            servers.insert(service.clone(), registry.servers_of(service));
         }
         let records = self.records.borrow();
         let counted = |(name, noted): (&String, &record::Noted)| {
