--- a/crates/engine/tests/control.rs
+++ b/crates/engine/tests/control.rs
@@ -4,10 +4,10 @@
 
 use dandelionpitch_engine::{
     catalog::Catalog,
-    duty::{claim_after, Duty, LEASE_TTL},
-    isolation::{Isolation, CERTAIN_AFTER, NOTICED_AFTER},
-    registry::{Incarnation, Registry, Role, Server, RETURN_LIMIT},
-    takeover::TURN_GAP,
+    election::{claim_delay, Election, LEASE_TTL},
+    isolation::{Isolation, BALANCER_DELAY, ISOLATED_AFTER},
+    registry::{Incarnation, Registry, Role, Server, MISSING_TIMEOUT},
+    takeover::PROMOTION_COOLDOWN,
     time::Moment,
 };
 
@@ -44,7 +44,7 @@
 
     let gone = registry.expire(at(3_000));
     registry.replace(vec![server("a")], at(3_100));
-    let later = registry.expire(at(1_000) + RETURN_LIMIT);
+    let later = registry.expire(at(1_000) + MISSING_TIMEOUT);
 
     assert!(gone.is_empty());
     assert_eq!(later, ["b"]);
@@ -56,9 +56,9 @@
 #[test]
 fn outage_starts_the_return_period_anew() {
     let mut registry = registry(&["a"]);
-    registry.missing("a", at(0));
+    registry.mark_missing("a", at(0));
 
-    registry.forgive(at(9_000));
+    registry.restart_expiry(at(9_000));
 
     assert!(registry.expire(at(10_000)).is_empty());
 }
@@ -78,7 +78,7 @@
     };
     registry.put(primary, at(500));
 
-    assert_eq!(registry.of("ledger")[0].leaving_since, Some(at(0)));
+    assert_eq!(registry.servers_of("ledger")[0].leaving_since, Some(at(0)));
 }
 
 /// The store turns a proxy away for nine seconds. Meanwhile a server says that it leaves, and when the
@@ -91,24 +91,24 @@
         ..server("a")
     };
     let mut registry = registry(&["a"]);
-    registry.known_until(at(0));
+    registry.note_synced(at(0));
     let mut watching = registry.clone();
-    watching.known_until(at(8_900));
+    watching.note_synced(at(8_900));
 
     registry.put(leaving.clone(), at(9_000));
     watching.put(leaving, at(9_000));
 
-    assert!(!registry.of("ledger")[0].takes_work(at(9_000)));
-    assert!(watching.of("ledger")[0].takes_work(at(9_000)));
-    assert!(watching.of("ledger")[0].takes_work(at(13_800)));
-    assert!(!watching.of("ledger")[0].takes_work(at(14_000)));
+    assert!(!registry.servers_of("ledger")[0].takes_work(at(9_000)));
+    assert!(watching.servers_of("ledger")[0].takes_work(at(9_000)));
+    assert!(watching.servers_of("ledger")[0].takes_work(at(13_800)));
+    assert!(!watching.servers_of("ledger")[0].takes_work(at(14_000)));
 }
 
 /// A process starts and finds a server leaving: since when, it cannot know.
 #[test]
 fn server_found_leaving_at_the_start_gets_no_work() {
     let mut registry = Registry::default();
-    registry.known_until(Moment::default());
+    registry.note_synced(Moment::default());
     let leaving = Server {
         leaving: true,
         ..server("a")
@@ -117,7 +117,7 @@
     registry.replace(vec![leaving, server("b")], at(0));
 
     let takes = registry
-        .of("ledger")
+        .servers_of("ledger")
         .iter()
         .map(|e| e.takes_work(at(0)))
         .collect::<Vec<_>>();
@@ -142,9 +142,9 @@
 /// promoted. It must not act on its old token.
 #[test]
 fn suspended_holder_has_no_token() {
-    let mut duty = Duty::default();
-    duty.renewed(at(0));
-    duty.won("a", 7);
+    let mut duty = Election::default();
+    duty.note_renewal(at(0));
+    duty.note_won("a", 7);
 
     let before = duty.token(at(1_000));
     let after = duty.token(at(0) + LEASE_TTL);
@@ -155,25 +155,25 @@
 /// The store takes the key away without a word, and another process writes it: the first sees it.
 #[test]
 fn holder_whose_key_is_rewritten_has_no_token() {
-    let mut duty = Duty::default();
-    duty.renewed(at(0));
-    duty.won("a", 7);
+    let mut duty = Election::default();
+    duty.note_renewal(at(0));
+    duty.note_won("a", 7);
 
-    duty.seen(Some(("b", 9)));
+    duty.note_holder(Some(("b", 9)));
 
     assert_eq!(duty.token(at(100)), None);
-    assert!(!duty.is_free(at(100)));
+    assert!(!duty.can_acquire(at(100)));
 }
 
 #[test]
 fn duty_is_claimed_only_under_a_lease_that_lasts() {
-    let mut duty = Duty::default();
-    let without = duty.is_free(at(0));
-    duty.renewed(at(0));
+    let mut duty = Election::default();
+    let without = duty.can_acquire(at(0));
+    duty.note_renewal(at(0));
 
     assert!(!without);
-    assert!(duty.is_free(at(100)));
-    assert!(!duty.is_free(at(0) + LEASE_TTL));
+    assert!(duty.can_acquire(at(100)));
+    assert!(!duty.can_acquire(at(0) + LEASE_TTL));
 }
 
 /// A holder is cut off while proxies are restarted in turn. Of those that see the duty free, one that
@@ -181,10 +181,10 @@
 /// those that have run for longer claim first.
 #[test]
 fn process_that_has_just_started_claims_last() {
-    let (young, old) = (Duration::from_millis(430), TURN_GAP);
+    let (young, old) = (Duration::from_millis(430), PROMOTION_COOLDOWN);
 
-    assert!(claim_after(young, true) > claim_after(old, true) + Duration::from_millis(250));
-    assert_eq!(claim_after(old, true), Duration::ZERO);
+    assert!(claim_delay(young, true) > claim_delay(old, true) + Duration::from_millis(250));
+    assert_eq!(claim_delay(old, true), Duration::ZERO);
 }
 
 /// A data centre is cut off: its proxies send new callers away once they are sure, resting ones
@@ -193,17 +193,17 @@
 fn proxy_that_reaches_nothing_outside_sends_callers_elsewhere() {
     let mut isolation = Isolation::default();
     isolation.note(false, at(0));
-    let first = isolation.certain(at(0));
+    let first = isolation.is_isolated(at(0));
     isolation.note(false, at(500));
-    let sure = at(0) + CERTAIN_AFTER;
-    let noticed = sure + NOTICED_AFTER;
+    let sure = at(0) + ISOLATED_AFTER;
+    let noticed = sure + BALANCER_DELAY;
 
     assert!(!first);
-    assert!(isolation.certain(sure));
-    assert!(!isolation.releases_sessions(sure));
-    assert!(isolation.releases_sessions(noticed));
+    assert!(isolation.is_isolated(sure));
+    assert!(!isolation.should_close_sessions(sure));
+    assert!(isolation.should_close_sessions(noticed));
     isolation.note(true, noticed);
-    assert!(!isolation.certain(noticed));
+    assert!(!isolation.is_isolated(noticed));
 }
 
 fn life(id: &str, born: u64, leaving: bool) -> Server {
@@ -226,7 +226,7 @@
 
     let began = registry.put(life("a", 2_000, false), at(8_000));
     let late = registry.put(life("a", 1_000, true), at(8_100));
-    let entry = registry.of("ledger").remove(0);
+    let entry = registry.servers_of("ledger").remove(0);
 
     assert!(began && !late);
     assert_eq!(entry.server.incarnation.born, 2_000);
@@ -237,12 +237,12 @@
 /// while the first, who has not heard of it, still relies on its lease.
 #[test]
 fn duty_is_left_alone_until_a_lost_lease_has_run_out() {
-    let mut duty = Duty::default();
-    duty.renewed(at(0));
-    duty.won("a", 7);
+    let mut duty = Election::default();
+    duty.note_renewal(at(0));
+    duty.note_won("a", 7);
 
-    duty.store_restored(at(1_000));
-    duty.seen(None);
+    duty.note_store_restored(at(1_000));
+    duty.note_holder(None);
 
     assert_eq!(duty.token(at(1_000)), None);
     assert!(!duty.may_claim(at(1_000) + LEASE_TTL - Duration::from_millis(1)));
@@ -259,9 +259,9 @@
     registry.put(leaving, at(100));
 
     registry.restore(vec![server("a")], at(200));
-    let restored = registry.of("ledger")[0].server.leaving;
+    let restored = registry.servers_of("ledger")[0].server.leaving;
     registry.put(server("a"), at(300));
 
     assert!(restored);
-    assert!(!registry.of("ledger")[0].server.leaving);
+    assert!(!registry.servers_of("ledger")[0].server.leaving);
 }
--- a/crates/engine/tests/interleavings/attempt.rs
+++ b/crates/engine/tests/interleavings/attempt.rs
@@ -5,10 +5,10 @@
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
-    fence::{self, Again, Fence, Fenced, Heard},
+    fence::{self, Fence, Fenced, Recheck, Response},
     freshness::PROMOTION_WAIT,
-    life::Life,
     registry::Incarnation,
+    restart::Detector,
     roster::Roster,
     takeover::{Member, Sight, Status},
 };
@@ -36,18 +36,18 @@
     /// The duty's token, while it is held.
     pub token: Option<u64>,
     /// What the watched lives said last.
-    pub lives: &'a mut Map<Incarnation, Life>,
+    pub lives: &'a mut Map<Incarnation, Detector>,
 }
 
 /// Whether an answer may be that of the life that was heard before; notes it if so.
 pub fn same_life(
-    lives: &mut Map<Incarnation, Life>,
+    lives: &mut Map<Incarnation, Detector>,
     id: &Incarnation,
     status: &Status,
     (asked, now): (u64, u64),
 ) -> bool {
     let life = lives.entry(id.clone()).or_default();
-    life.admits(status, moment(asked), moment(now))
+    life.accepts(status, moment(asked), moment(now))
 }
 
 impl Desk<'_> {
@@ -83,7 +83,7 @@
         /// How many calls are left, all of them before the first.
         left: usize,
         asked: Vec<(u64, usize)>,
-        answers: Vec<(Incarnation, Again)>,
+        answers: Vec<(Incarnation, Recheck)>,
         until: u64,
     },
     /// A call was sent; its answer comes at `answered`, or is given up at `until`.
@@ -183,7 +183,7 @@
                         let heard =
                             match same_life(desk.lives, &member.id, &status, (answer.asked, now)) {
                                 true => self.fence.note(member, &status),
-                                false => Heard::Restarted,
+                                false => Response::Restarted,
                             };
                         desk.cluster
                             .note(|| format!("{} ordered: {heard:?}", member.id));
@@ -196,8 +196,8 @@
                 };
                 let (_, member) = asked.remove(at);
                 let again = match answer.said {
-                    Said::Status(status) => Again::Answered(status),
-                    Said::Busy => Again::Silent,
+                    Said::Status(status) => Recheck::Answered(status),
+                    Said::Busy => Recheck::Unavailable,
                 };
                 answers.push((self.members[member].id.clone(), again));
             }
--- a/crates/engine/tests/interleavings/follower.rs
+++ b/crates/engine/tests/interleavings/follower.rs
@@ -69,7 +69,7 @@
             leaving: *leaving,
         });
         if cluster.now - self.followed > 40 {
-            self.registry.forgive(now);
+            self.registry.restart_expiry(now);
         }
         self.registry.replace(servers.collect(), now);
         self.registry.expire(moment(known));
@@ -112,7 +112,7 @@
     }
 
     pub fn entries(&self) -> Vec<Entry> {
-        self.registry.of(GROUP)
+        self.registry.servers_of(GROUP)
     }
 }
 
--- a/crates/engine/tests/interleavings/promoter.rs
+++ b/crates/engine/tests/interleavings/promoter.rs
@@ -4,10 +4,10 @@
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
-    duty::{Duty, LEASE_TTL, RENEW_EVERY},
-    life::Life,
+    election::{Election, LEASE_TTL, RENEW_INTERVAL},
     registry::Incarnation,
-    takeover::{self, Sight, Verdict, TURN_GAP},
+    restart::Detector,
+    takeover::{self, Decision, Sight, PROMOTION_COOLDOWN},
 };
 
 use super::{
@@ -26,11 +26,11 @@
 pub struct Promoter {
     number: usize,
     follower: Follower,
-    duty: Duty,
+    duty: Election,
     renewed: u64,
     watched: Option<Watched>,
     attempts: Vec<Attempt>,
-    lives: Map<Incarnation, Life>,
+    lives: Map<Incarnation, Detector>,
 }
 
 impl Promoter {
@@ -38,7 +38,7 @@
         Self {
             number,
             follower: Follower::new(promoter_node(number)),
-            duty: Duty::default(),
+            duty: Election::default(),
             renewed: 0,
             watched: None,
             attempts: Vec::new(),
@@ -119,11 +119,11 @@
         watched.trying = false;
         match ended {
             Ended::Called { server, term } => {
-                watched.memory.promoted(server, *term, moment(now));
+                watched.memory.note_promotion(server, *term, moment(now));
                 watched.not_before = now + SETTLE;
             }
             Ended::NotCalled => {
-                watched.memory.attempted();
+                watched.memory.note_attempt();
                 watched.not_before = now + RETRY;
             }
         }
@@ -134,7 +134,7 @@
             let seen = self.follower.duty;
             let seen = seen.map(|(holder, token)| (holder.to_string(), token));
             self.duty
-                .seen(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
+                .note_holder(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
         }
         self.keep_duty(cluster);
         self.attend(cluster, |attempt, desk| attempt.step(desk));
@@ -150,24 +150,24 @@
             return;
         }
         let until = now + steps(LEASE_TTL);
-        if self.duty.is_own() {
-            if now < self.renewed + steps(RENEW_EVERY) {
+        if self.duty.is_elected() {
+            if now < self.renewed + steps(RENEW_INTERVAL) {
                 return;
             }
             match &mut cluster.store.duty {
                 Some((holder, _, end)) if *holder == self.number => {
                     *end = until;
-                    self.duty.renewed(moment(now));
+                    self.duty.note_renewal(moment(now));
                     self.renewed = now;
                 }
-                _ => self.duty.lapsed(),
+                _ => self.duty.note_expiry(),
             }
         } else if self.duty.is_vacant() && cluster.store.duty.is_none() {
             cluster.store.revision += 1;
             let token = cluster.store.revision;
             cluster.store.duty = Some((self.number, token, until));
-            self.duty.won(&self.number.to_string(), token);
-            self.duty.renewed(moment(now));
+            self.duty.note_won(&self.number.to_string(), token);
+            self.duty.note_renewal(moment(now));
             self.renewed = now;
             cluster.note(|| format!("promoter {} takes the duty", self.number));
         }
@@ -194,21 +194,23 @@
         watched.follow_record(&self.follower, now);
         watched.roster.update(&members, moment(now));
         watched.keep_roster(cluster, self.follower.node, self.number, token);
-        let calm = takeover::leader(&members).is_some() && !watched.memory.suspects(moment(now));
+        let calm = takeover::leader(&members).is_some() && !watched.memory.is_suspect(moment(now));
         watched.ask(cluster, self.follower.node, calm);
         watched.depose_old(&members);
         if watched.trying || now < watched.not_before {
             return;
         }
-        let old = match watched.memory.judge(&members, moment(now)) {
-            Verdict::Replace { old, .. } => old,
-            Verdict::Resume => return watched.resume_held(&members),
-            Verdict::Led | Verdict::Unsure => return,
+        let old = match watched.memory.evaluate(&members, moment(now)) {
+            Decision::Replace { old, .. } => old,
+            Decision::Resume => return watched.resume_held(&members),
+            Decision::Healthy | Decision::Undecided => return,
         };
         let noted = self.follower.recorded.as_ref();
         let ours = noted.is_none_or(|noted| {
             let (record, past) = (&noted.record, now - noted.promoted);
-            record.holder == self.number || record.promotions == 0 || past >= steps(TURN_GAP)
+            record.holder == self.number
+                || record.promotions == 0
+                || past >= steps(PROMOTION_COOLDOWN)
         });
         let watchers = watched.watchers.values_mut();
         let settled = watchers.filter_map(|watcher| watcher.cancel_resume().then_some(()));
--- a/crates/engine/tests/interleavings/proxy/proof.rs
+++ b/crates/engine/tests/interleavings/proxy/proof.rs
@@ -1,8 +1,8 @@
 //! How a proxy finds out that a commit is kept.
 
 use dandelionpitch_engine::{
-    commit::{Commit, List, Testimony},
-    freshness::{self, Word},
+    commit::{Commit, Membership, Snapshot},
+    freshness::{self, Relation},
     registry::Incarnation,
 };
 
@@ -82,7 +82,7 @@
                 pending.stage = Stage::Asking(self.commit_round(cluster, &pending.primary));
             }
             Stage::Asking(round) if now >= round.ends || round.open.is_empty() => {
-                let obeyed = (round.obey > 0).then_some(round.asked);
+                let obeyed = (round.followers > 0).then_some(round.asked);
                 return self.round_ended(cluster, pending, obeyed);
             }
             Stage::Asking(round) => self.ask_due(cluster, round),
@@ -99,7 +99,9 @@
         let now = cluster.now;
         let mut replicas = self.follower.entries();
         replicas.retain(|entry| entry.server.incarnation != *primary);
-        let hedge = match self.lease.leads(moment(now)) && self.list(now) == List::Current {
+        let hedge = match self.lease.excludes_promotion(moment(now))
+            && self.list(now) == Membership::Current
+        {
             true => {
                 replicas.retain(|entry| self.vouches(&entry.server.incarnation));
                 let first = cluster.draw(replicas.len().max(1) as u64) as usize;
@@ -128,14 +130,14 @@
             .and_then(|id| Some((self.same_life(&id, said)?, id)));
         if let Some((status, id)) = status {
             if let Some((_, term)) = self.leader {
-                match freshness::word(&status, term) {
-                    Word::Obeys => {
-                        round.obey += 1;
+                match freshness::relation(&status, term) {
+                    Relation::Follows => {
+                        round.followers += 1;
                         self.lease
-                            .confirm(self.poll_of((round.asked, cluster.now), round.obey));
+                            .confirm(self.poll_of((round.asked, cluster.now), round.followers));
                     }
-                    Word::Supersedes => self.superseded(term, &status),
-                    Word::Nothing => {}
+                    Relation::Supersedes => self.superseded(term, &status),
+                    Relation::Unrelated => {}
                 }
             }
             let vouches = self.vouches(&id);
@@ -145,7 +147,7 @@
             if self.proves(&pending.primary, &pending.commit, cluster.now) {
                 return cluster.report(self.number, pending.entry, "lease or all");
             }
-            if pending.commit.is_held() {
+            if pending.commit.is_replicated() {
                 round.ends = round.ends.min(cluster.now + LATE_ANSWER);
             }
         }
@@ -157,7 +159,7 @@
         if self.proves(&pending.primary, &pending.commit, now) {
             return cluster.report(self.number, pending.entry, "lease after the round");
         }
-        pending.stage = match (pending.commit.is_held(), self.flying) {
+        pending.stage = match (pending.commit.is_replicated(), self.flying) {
             (false, _) => Stage::Pausing { until: now + 1 },
             (true, true) => Stage::Joining,
             (true, false) => {
@@ -192,7 +194,7 @@
         &mut self,
         cluster: &mut Cluster,
         to: Asker,
-        testimony: Option<&Testimony>,
+        testimony: Option<&Snapshot>,
     ) {
         let asked_for = |pending: &Pending| matches!(pending.stage, Stage::Storing { tag, .. } if tag == to.tag);
         let Some(at) = self.pending.iter().position(asked_for) else {
@@ -203,10 +205,10 @@
             return;
         };
         let leads = self.leads(&pending.primary, &pending.commit);
-        let witnessed =
-            leads && testimony.is_some_and(|t| pending.commit.is_witnessed(t, &pending.primary));
+        let witnessed = leads
+            && testimony.is_some_and(|t| pending.commit.is_durable_by_record(t, &pending.primary));
         if let (true, Some(obeyed)) = (witnessed, obeyed) {
-            self.lease.witnessed(moment(obeyed));
+            self.lease.renew_from_record(moment(obeyed));
         }
         pending.stage = Stage::Pausing {
             until: cluster.now + 1,
--- a/crates/proxy/src/control/voters.rs
+++ b/crates/proxy/src/control/voters.rs
@@ -78,7 +78,8 @@
         // if they had everything that a removed server still in use has.
         for server in removed {
             if hears_from_primary(server, group, now) {
-                self.roster.keep(&self.incarnation_of(server.address), at);
+                self.roster
+                    .note_in_use(&self.incarnation_of(server.address), at);
             }
         }
         let member = |server: &view::Server| self.member(server, group, now);
@@ -105,7 +106,7 @@
         let replaces = era::of(stored.revision) == era::of(self.revision);
         self.revision = stored.revision;
         if replaces {
-            self.roster.forget(&covered);
+            self.roster.remove_covered(&covered);
         }
         self.roster.merge(&self.recorded, at);
     }
--- a/crates/proxy/src/line/control/observe.rs
+++ b/crates/proxy/src/line/control/observe.rs
@@ -9,10 +9,10 @@
 };
 
 use dandelionpitch_engine::{
-    life::Life,
     refusal::Code,
     registry::{Role, Server},
-    takeover::{self, Sight, Status, ASK_EVERY},
+    restart::Detector,
+    takeover::{self, Sight, Status, STATUS_INTERVAL},
     time::Moment,
 };
 use dandelionpitch_platform::{
@@ -52,7 +52,7 @@
     answered: Cell<Moment>,
     asked: Cell<Moment>,
     busy: Cell<bool>,
-    life: Cell<Life>,
+    life: Cell<Detector>,
     /// It is being told to receive again.
     resuming: Cell<bool>,
     /// What it is to be told when it is next asked.
@@ -93,7 +93,7 @@
                 held: 0,
                 ..
             }) if calm => ASK_REPLICAS_EVERY,
-            _ => ASK_EVERY,
+            _ => STATUS_INTERVAL,
         };
         if self.busy.get() || now.since(self.asked.get()) < every {
             return;
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -11,7 +11,7 @@
 use dandelionpitch_core::hash::{Map, Set};
 use dandelionpitch_engine::{
     catalog::{Catalog, Service},
-    duty::Duty,
+    election::Election,
     era,
     feed::Place,
     members::Members,
@@ -66,7 +66,7 @@
     pub stopping: CancellationToken,
     pub store: RefCell<Store>,
     pub promoter: dandelionpitch_platform::promoter::Promoter,
-    pub duty: RefCell<Duty>,
+    pub duty: RefCell<Election>,
     /// How many primaries are being replaced by this process.
     pub attempts: Cell<usize>,
     pub registry: RefCell<Registry>,
@@ -94,7 +94,7 @@
 
     /// The servers of a group and what is noted of them.
     pub fn servers_of(&self, service: &str) -> Vec<Entry> {
-        self.registry.borrow().of(service)
+        self.registry.borrow().servers_of(service)
     }
 
     /// The groups of the configuration in force.
@@ -124,7 +124,7 @@
     pub fn restore(&self, update: &Update<Value>) {
         let now = clock::now();
         journal::write("store restored", json!({ "era": era::of(update.revision) }));
-        self.duty.borrow_mut().store_restored(now);
+        self.duty.borrow_mut().note_store_restored(now);
         self.take_all(&update.changes, Registry::restore);
         for noted in self.records.borrow_mut().values_mut() {
             noted.restore(update.revision);
@@ -166,7 +166,7 @@
         let holder = holder
             .as_ref()
             .map(|(name, revision)| (name.as_str(), *revision));
-        self.duty.borrow_mut().seen(holder);
+        self.duty.borrow_mut().note_holder(holder);
         self.publish();
     }
 
@@ -190,7 +190,7 @@
             Subject::Config => self.configure(&item.value),
             Subject::Server(id) => {
                 let Some(server) = self.read_server(id, &item.value) else {
-                    return self.registry.borrow_mut().missing(id, now);
+                    return self.registry.borrow_mut().mark_missing(id, now);
                 };
                 if self.registry.borrow_mut().put(server.clone(), now) {
                     journal::write(
@@ -203,7 +203,9 @@
             }
             Subject::Own(key) if key == DUTY => {
                 let name = String::from_utf8_lossy(&item.value);
-                self.duty.borrow_mut().seen(Some((&name, item.revision)));
+                self.duty
+                    .borrow_mut()
+                    .note_holder(Some((&name, item.revision)));
             }
             Subject::Own(key) => match entry::name(key) {
                 Some(name) => {
@@ -220,9 +222,9 @@
         match store::subject(key) {
             Subject::Server(id) => {
                 journal::write("server", json!({ "id": id, "missing": true }));
-                self.registry.borrow_mut().missing(id, now);
+                self.registry.borrow_mut().mark_missing(id, now);
             }
-            Subject::Own(key) if key == DUTY => self.duty.borrow_mut().seen(None),
+            Subject::Own(key) if key == DUTY => self.duty.borrow_mut().note_holder(None),
             Subject::Own(key) => {
                 if let Some(name) = entry::name(key) {
                     self.members.borrow_mut().missing(name, now);
@@ -333,7 +335,7 @@
         let catalog = self.catalog.borrow().clone();
         let mut servers = Map::default();
         for service in catalog.iter().flat_map(|catalog| catalog.services.keys()) {
-            servers.insert(service.clone(), registry.of(service));
+            servers.insert(service.clone(), registry.servers_of(service));
         }
         let records = self.records.borrow();
         let counted = |(name, noted): (&String, &record::Noted)| {
--- a/crates/proxy/tests/voters.rs
+++ b/crates/proxy/tests/voters.rs
@@ -6,7 +6,7 @@
 };
 
 use dandelionpitch_core::{era, position::Position, primary::Record};
-use dandelionpitch_engine::roster::LIST_HOLDS;
+use dandelionpitch_engine::roster::LIST_VALIDITY;
 use dandelionpitch_proxy::{
     config::Config,
     control::voters::Voters,
@@ -72,7 +72,7 @@
 #[test]
 fn removed_server_counts_until_others_have_its_commits() {
     let start = Instant::now();
-    let later = start + LIST_HOLDS + Duration::from_secs(1);
+    let later = start + LIST_VALIDITY + Duration::from_secs(1);
     let mut voters = Voters::new(start);
     voters.update(
         &group(&[(0, 10), (1, 5), (2, 10)], &[0, 1, 2], start),
@@ -109,7 +109,7 @@
 #[test]
 fn record_is_outdated_when_voters_change() {
     let now = Instant::now();
-    let later = now + LIST_HOLDS + Duration::from_secs(1);
+    let later = now + LIST_VALIDITY + Duration::from_secs(1);
     let grown = group(&[(0, 10), (1, 10), (2, 10)], &[0, 1], now);
     let shrunk = group(&[(0, 10), (1, 10)], &[0, 1, 2], now);
     let covered = group(&[(0, 10), (1, 10)], &[0, 1, 2], later);
@@ -150,7 +150,7 @@
 #[test]
 fn removed_server_counts_while_it_hears_from_primary() {
     let start = Instant::now();
-    let later = start + LIST_HOLDS + Duration::from_secs(1);
+    let later = start + LIST_VALIDITY + Duration::from_secs(1);
     let removed = |now| {
         let mut group = group(&[(0, 10), (1, 10), (2, 10)], &[0, 1, 2], now);
         group.servers[2].listed = false;
