--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -25,7 +25,7 @@
     /// Wait; `expected` is the forecast.
     Wait { expected: Duration },
     /// Refuse now.
-    Refuse { come_back: Duration },
+    Refuse { retry_after: Duration },
 }
 
 /// The part of the time left that may be spent waiting: the rest is for the work itself.
@@ -41,14 +41,14 @@
     match expected <= left.mul_f64(WAIT_PART) {
         true => Verdict::Wait { expected },
         false => Verdict::Refuse {
-            come_back: (expected / 2).max(SHORTEST_RETURN),
+            retry_after: (expected / 2).max(SHORTEST_RETURN),
         },
     }
 }
 
 /// What a waiting statement was admitted for.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim {
+pub struct Queued {
     /// When it should be answered.
     pub due: Moment,
     /// When it is of no use any more.
@@ -57,10 +57,10 @@
 
 /// Who is served when a connection becomes free.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Turn {
+pub struct Selection {
     pub next: Option<usize>,
     /// Those that cannot be served before their deadline, to be refused now.
-    pub hopeless: Vec<usize>,
+    pub too_late: Vec<usize>,
 }
 
 /// Judges the waiting statements again, which are in order of rank, for connections that are held for
@@ -71,17 +71,17 @@
 /// before one that could still meet its own, so both were late; and one that had waited until just
 /// before its deadline was sent all the same, or refused only then. Half of the mean time is reckoned
 /// for the work itself: the mean counts transactions, which rest on their connections.
-pub fn turn(claims: &[Claim], hold: Duration, now: Moment) -> Turn {
+pub fn select(entries: &[Queued], hold: Duration, now: Moment) -> Selection {
     let done = now + hold / 2;
-    let hopeless = |claim: &(usize, &Claim)| done > claim.1.deadline;
-    let numbered = || claims.iter().enumerate();
-    let useful = numbered().filter(|(_, claim)| done <= claim.deadline);
-    let on_time = useful.clone().find(|(_, claim)| done <= claim.due);
+    let too_late = |queued: &(usize, &Queued)| done > queued.1.deadline;
+    let numbered = || entries.iter().enumerate();
+    let useful = numbered().filter(|(_, queued)| done <= queued.deadline);
+    let on_time = useful.clone().find(|(_, queued)| done <= queued.due);
     let next = on_time.or_else(|| useful.clone().next());
-    Turn {
+    Selection {
         next: next.map(|(index, _)| index),
-        hopeless: numbered()
-            .filter(hopeless)
+        too_late: numbered()
+            .filter(too_late)
             .map(|(index, _)| index)
             .collect(),
     }
@@ -96,7 +96,7 @@
 /// statement finds nobody to serve it. Held until its timeout it is late in any case, and its
 /// caller cannot try elsewhere; refused at once it can, and comes back when there is a primary
 /// again.
-pub fn may_look(waited: Duration, target: Duration) -> bool {
+pub fn may_search(waited: Duration, target: Duration) -> bool {
     waited <= target / LOOKING_PART
 }
 
@@ -105,7 +105,7 @@
 /// Load pattern: a primary is lost and each search for the next one waits half a second for servers that
 /// do not answer. Statements that came while it ran would be refused only when it ends, past half of
 /// their target.
-pub fn looking_left(waited: Duration, target: Duration) -> Duration {
+pub fn remaining_search_time(waited: Duration, target: Duration) -> Duration {
     (target / LOOKING_PART).saturating_sub(waited)
 }
 
@@ -113,9 +113,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obstacle {
     /// None is known or reachable, or none has what it must see: that may change any moment.
-    Nobody,
+    NoServer,
     /// Too much waits before it at a server that could.
-    FullQueue,
+    QueueFull,
 }
 
 /// Whether a statement that came `waited` ago is offered to the servers again.
@@ -123,10 +123,10 @@
 /// Load pattern: both replicas of a group are seconds behind, and its primary has more work
 /// than it can do. Offered to all servers again, each read that its queue refuses is only turned away more
 /// often. Refused at once its caller comes back sooner.
-pub fn offers_again(obstacle: Obstacle, waited: Duration, target: Duration) -> bool {
+pub fn may_retry(obstacle: Obstacle, waited: Duration, target: Duration) -> bool {
     match obstacle {
-        Obstacle::Nobody => may_look(waited, target),
-        Obstacle::FullQueue => false,
+        Obstacle::NoServer => may_search(waited, target),
+        Obstacle::QueueFull => false,
     }
 }
 
@@ -142,7 +142,7 @@
     }
 
     /// Takes one more value in.
-    pub fn note(&mut self, value: Duration) {
+    pub fn record(&mut self, value: Duration) {
         self.0 = (self.0 * 4 + value) / 5;
     }
 
--- a/crates/engine/src/handover.rs
+++ b/crates/engine/src/handover.rs
@@ -50,7 +50,7 @@
 /// another's is not. A refusal that says "not run" may be tried elsewhere, as long as the caller
 /// would not fare better by coming back itself.
 pub fn offers_again(code: Code, offers: usize, waited: Duration, target: Duration) -> bool {
-    code.not_run() && offers < OFFERS && admission::may_look(waited, target)
+    code.guarantees_not_run() && offers < OFFERS && admission::may_search(waited, target)
 }
 
 impl From<Terms> for Route {
--- a/crates/engine/src/refusal.rs
+++ b/crates/engine/src/refusal.rs
@@ -35,7 +35,7 @@
 
 impl Code {
     /// Whether the caller is told that nothing of its attempt is kept, so it may repeat it.
-    pub fn promises_nothing_kept(self) -> bool {
+    pub fn guarantees_not_applied(self) -> bool {
         matches!(
             self,
             Self::Busy
@@ -48,7 +48,7 @@
     }
 
     /// Whether a server that answers with it did not run the statement.
-    pub fn not_run(self) -> bool {
+    pub fn guarantees_not_run(self) -> bool {
         matches!(
             self,
             Self::Busy
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dandelionpitch_engine::{
-    admission::{self, Claim, Mean, Obstacle, Queue, Turn, Verdict},
+    admission::{self, Mean, Obstacle, Queue, Queued, Selection, Verdict},
     members::Members,
     placement::{self, Candidate},
     share,
@@ -51,9 +51,9 @@
                 let turns = waiting.div_ceil(connections) as u32;
                 slowest = slowest.max(hold * (turns + 1));
             }
-            Verdict::Refuse { come_back } => {
+            Verdict::Refuse { retry_after } => {
                 refused += 1;
-                assert!(come_back >= millis(50));
+                assert!(retry_after >= millis(50));
             }
         }
     }
@@ -67,12 +67,12 @@
 /// again a moment later. With no primary known, one may come any moment, and a fifth of the target is
 /// spent on that.
 #[parameterized(
-    full_queue = { Obstacle::FullQueue, 0, false },
-    no_primary_yet = { Obstacle::Nobody, 60, true },
-    no_primary_for_long = { Obstacle::Nobody, 90, false },
+    full_queue = { Obstacle::QueueFull, 0, false },
+    no_primary_yet = { Obstacle::NoServer, 60, true },
+    no_primary_for_long = { Obstacle::NoServer, 90, false },
 )]
 fn refused_statement_is_offered_again(obstacle: Obstacle, waited: u64, expected: bool) {
-    let again = admission::offers_again(obstacle, millis(waited), millis(400));
+    let again = admission::may_retry(obstacle, millis(waited), millis(400));
 
     assert_eq!(again, expected);
 }
@@ -96,7 +96,7 @@
 fn slow_replica_loses_its_reads() {
     let mut slow = Mean::new(millis(30));
     for _ in 0..10 {
-        slow.note(millis(150));
+        slow.record(millis(150));
     }
     let slow = slow.value().as_millis() as u64;
 
@@ -189,8 +189,8 @@
     assert_eq!(counts, [7, 7, 5]);
 }
 
-fn claim(due: u64, deadline: u64) -> Claim {
-    Claim {
+fn queued(due: u64, deadline: u64) -> Queued {
+    Queued {
         due: at(due),
         deadline: at(deadline),
     }
@@ -201,30 +201,30 @@
 /// the one without time hears so now.
 #[test]
 fn waiting_statement_that_can_be_on_time_goes_first() {
-    let claims = [claim(900, 1_500), claim(700, 1_010), claim(1_300, 1_900)];
+    let entries = [queued(900, 1_500), queued(700, 1_010), queued(1_300, 1_900)];
 
-    let turn = admission::turn(&claims, millis(60), at(1_000));
+    let selection = admission::select(&entries, millis(60), at(1_000));
 
-    assert_eq!((turn.next, turn.hopeless), (Some(2), vec![1]));
+    assert_eq!((selection.next, selection.too_late), (Some(2), vec![1]));
 }
 
 /// A late answer is still worth something to its caller: where nobody can be on time, those past their
 /// target are served in their order.
 #[test]
 fn late_statements_are_served_when_nobody_else_waits() {
-    let claims = [claim(900, 1_500), claim(950, 1_500)];
+    let entries = [queued(900, 1_500), queued(950, 1_500)];
 
-    let turn = admission::turn(&claims, millis(60), at(1_000));
+    let selection = admission::select(&entries, millis(60), at(1_000));
 
-    assert_eq!((turn.next, turn.hopeless), (Some(0), Vec::new()));
+    assert_eq!((selection.next, selection.too_late), (Some(0), Vec::new()));
 }
 
 /// Half again as much work as four connections can do comes for two seconds, all with a target of 400 ms
 /// and a deadline of a second, every fourth statement ranked higher; returns how many were served on
 /// time and how many late.
-fn overload(judge: impl Fn(&[Claim], u64) -> Turn) -> (usize, usize) {
+fn overload(judge: impl Fn(&[Queued], u64) -> Selection) -> (usize, usize) {
     let (connections, hold) = (4, 40);
-    let mut waiting: Vec<(u32, Claim)> = Vec::new();
+    let mut waiting: Vec<(u32, Queued)> = Vec::new();
     let mut free_at = vec![0u64; connections];
     let (mut on_time, mut late) = (0, 0);
     for now in 0..3_000u64 {
@@ -238,15 +238,15 @@
                 hold: millis(hold),
             };
             if matches!(admission::decide(queue, millis(400)), Verdict::Wait { .. }) {
-                waiting.insert(place, (priority, claim(now + 400, now + 1_000)));
+                waiting.insert(place, (priority, queued(now + 400, now + 1_000)));
             }
         }
         for free in free_at.iter_mut().filter(|free| **free <= now) {
-            let claims: Vec<Claim> = waiting.iter().map(|(_, claim)| *claim).collect();
-            let Turn { next, hopeless } = judge(&claims, now);
+            let entries: Vec<Queued> = waiting.iter().map(|(_, queued)| *queued).collect();
+            let Selection { next, too_late } = judge(&entries, now);
             if let Some(next) = next {
                 *free = now + hold;
-                match at(now + hold) <= claims[next].due {
+                match at(now + hold) <= entries[next].due {
                     true => on_time += 1,
                     false => late += 1,
                 }
@@ -254,7 +254,7 @@
             let mut index = 0..;
             waiting.retain(|_| {
                 let index = index.next();
-                index != next && !hopeless.iter().any(|gone| Some(*gone) == index)
+                index != next && !too_late.iter().any(|gone| Some(*gone) == index)
             });
         }
     }
@@ -265,13 +265,13 @@
 /// Judged again when a connection is free it is 206 and 22.
 #[test]
 fn overload_serves_more_on_time_when_the_queue_is_judged_again() {
-    let in_order = |claims: &[Claim], _| Turn {
-        next: (!claims.is_empty()).then_some(0),
-        hopeless: Vec::new(),
+    let in_order = |entries: &[Queued], _| Selection {
+        next: (!entries.is_empty()).then_some(0),
+        too_late: Vec::new(),
     };
 
     let before = overload(in_order);
-    let after = overload(|claims, now| admission::turn(claims, millis(40), at(now)));
+    let after = overload(|entries, now| admission::select(entries, millis(40), at(now)));
 
     assert!(after.0 > before.0, "{before:?} {after:?}");
     assert!(after.1 * 2 < before.1, "{before:?} {after:?}");
--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -161,7 +161,7 @@
     /// Notes how long a statement took.
     pub fn took(&self, length: Duration) {
         let mut latency = self.latency.get();
-        latency.note(length);
+        latency.record(length);
         self.latency.set(latency);
     }
 
--- a/crates/proxy/src/line/backend/pool.rs
+++ b/crates/proxy/src/line/backend/pool.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Miss {
     /// It would come too late.
-    Refused { come_back: Duration },
+    Refused { retry_after: Duration },
     /// The server cannot be reached, or is not the expected one.
     Unreachable,
     /// The server takes no more connections.
@@ -73,7 +73,7 @@
     Room(Place),
     /// None: it would be of no use any more.
     Refused {
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -204,7 +204,7 @@
         match self.wait(wish).await? {
             Grant::Connection(checkout) => Ok(checkout),
             Grant::Room(place) => self.open(place, left).await,
-            Grant::Refused { come_back } => Err(Miss::Refused { come_back }),
+            Grant::Refused { retry_after } => Err(Miss::Refused { retry_after }),
         }
     }
 
@@ -276,7 +276,7 @@
 
     fn held(&self, since: Moment) {
         let mut hold = self.hold.get();
-        hold.note(clock::now().since(since));
+        hold.record(clock::now().since(since));
         self.hold.set(hold);
     }
 }
--- a/crates/proxy/src/line/backend/pool/waiting.rs
+++ b/crates/proxy/src/line/backend/pool/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use dandelionpitch_engine::admission::{self, Claim, Queue, Turn, Verdict};
+use dandelionpitch_engine::admission::{self, Queue, Queued, Selection, Verdict};
 use tokio::sync::oneshot;
 
 use super::{loan::Place, Grant, Miss, Pool, Waiter, Wish};
@@ -27,10 +27,10 @@
                 connections: state.open,
                 hold: self.hold.get().value(),
             };
-            if let Verdict::Refuse { come_back } =
+            if let Verdict::Refuse { retry_after } =
                 admission::decide(queue, now.until(rank.due).min(left))
             {
-                return Err(Miss::Refused { come_back });
+                return Err(Miss::Refused { retry_after });
             }
             let place = state
                 .waiting
@@ -45,11 +45,11 @@
             state.waiting.insert(place, waiter);
         }
         match tokio::time::timeout(left, granted).await {
-            Ok(Ok(Grant::Refused { come_back })) => Err(Miss::Refused { come_back }),
+            Ok(Ok(Grant::Refused { retry_after })) => Err(Miss::Refused { retry_after }),
             Ok(Ok(grant)) => Ok(grant),
             Ok(Err(_)) => Err(Miss::Unreachable),
             Err(_) => Err(Miss::Refused {
-                come_back: self.hold.get().value(),
+                retry_after: self.hold.get().value(),
             }),
         }
     }
@@ -94,18 +94,18 @@
             return None;
         }
         let hold = self.hold.get().value();
-        let claim = |waiter: &Waiter| Claim {
+        let queued = |waiter: &Waiter| Queued {
             due: waiter.rank.due,
             deadline: waiter.deadline,
         };
-        let claims: Vec<Claim> = state.waiting.iter().map(claim).collect();
-        let Turn { next, hopeless } = admission::turn(&claims, hold, clock::now());
+        let entries: Vec<Queued> = state.waiting.iter().map(queued).collect();
+        let Selection { next, too_late } = admission::select(&entries, hold, clock::now());
         let next = next.and_then(|index| state.waiting.remove(index).map(|waiter| (index, waiter)));
-        for index in hopeless.into_iter().rev() {
+        for index in too_late.into_iter().rev() {
             let shift = usize::from(next.as_ref().is_some_and(|(taken, _)| *taken < index));
             if let Some(waiter) = state.waiting.remove(index - shift) {
                 // Its receiver may be gone: then nobody has to be told.
-                let _ = waiter.grant.send(Grant::Refused { come_back: hold });
+                let _ = waiter.grant.send(Grant::Refused { retry_after: hold });
             }
         }
         next.map(|(_, waiter)| waiter)
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -94,12 +94,12 @@
 
     /// How much longer it may look for a server that can take it.
     pub fn looking_left(&self) -> Duration {
-        admission::looking_left(self.waited(), self.route.target)
+        admission::remaining_search_time(self.waited(), self.route.target)
     }
 
     /// Whether to look for a server that can take it once more.
     pub fn offers_again(&self, obstacle: Obstacle) -> bool {
-        !self.isolated && admission::offers_again(obstacle, self.waited(), self.route.target)
+        !self.isolated && admission::may_retry(obstacle, self.waited(), self.route.target)
     }
 
     /// What it asks of a pool; the proxy's own questions go first.
@@ -136,8 +136,8 @@
     }
 
     /// A refusal that says when to come back.
-    pub fn busy(&self, why: &str, come_back: Duration) -> Refusal {
-        let millis = come_back.as_millis();
+    pub fn busy(&self, why: &str, retry_after: Duration) -> Refusal {
+        let millis = retry_after.as_millis();
         Refusal::new(
             Code::Busy,
             format!("not run: {why}; come back in {millis} ms"),
@@ -148,8 +148,8 @@
 /// What it comes to that a connection could not be had.
 pub fn missed(call: &Call<'_>, miss: Miss) -> Failure {
     match miss {
-        Miss::Refused { come_back } => {
-            Failure::Full(call.busy("too much work is waiting", come_back))
+        Miss::Refused { retry_after } => {
+            Failure::Full(call.busy("too much work is waiting", retry_after))
         }
         Miss::Full => Failure::NotRun(call.busy("the server takes no more connections", COME_BACK)),
         Miss::Unreachable => Failure::NotRun(call.busy("no server can be reached", COME_BACK)),
--- a/crates/proxy/src/line/traffic/handover.rs
+++ b/crates/proxy/src/line/traffic/handover.rs
@@ -59,7 +59,7 @@
                 offers += 1;
                 // It may be cut off with this data centre, and this proxy cannot tell by itself: it
                 // speaks to no server. Callers would go on coming here for as long as the cut lasts.
-                if refusal.code.not_run() {
+                if refusal.code.guarantees_not_run() {
                     shared.suspicion.notify_one();
                 }
                 if !handover::offers_again(refusal.code, offers, call.waited(), call.route.target) {
@@ -176,7 +176,7 @@
         }
         Err(refusal) => {
             note_refused(&shared.metrics, &held.backend, call, &refusal.to_string());
-            if refusal.code.not_run() {
+            if refusal.code.guarantees_not_run() {
                 shared.suspicion.notify_one();
             }
             match answer.state {
--- a/crates/proxy/src/line/traffic/run.rs
+++ b/crates/proxy/src/line/traffic/run.rs
@@ -91,7 +91,7 @@
     fn new() -> Self {
         Self {
             rounds: 0,
-            obstacle: Obstacle::Nobody,
+            obstacle: Obstacle::NoServer,
             failed: Vec::new(),
             last: None,
         }
@@ -105,7 +105,7 @@
 
     fn note(&mut self, backend: &Backend, failure: Failure) {
         if matches!(failure, Failure::Full(_)) {
-            self.obstacle = Obstacle::FullQueue;
+            self.obstacle = Obstacle::QueueFull;
         }
         // What was not run costs nothing to offer again.
         if matches!(failure, Failure::Ran(_) | Failure::Lost(_)) {
@@ -165,7 +165,7 @@
                 return Some(leader);
             }
         }
-        if !call.offers_again(Obstacle::Nobody) {
+        if !call.offers_again(Obstacle::NoServer) {
             return None;
         }
         tokio::time::sleep(OFFER_AGAIN).await;
@@ -206,7 +206,7 @@
     }
     answer.result.map_err(|refusal| {
         note_failure(group, backend, call, &refusal.to_string());
-        match refusal.code.not_run() {
+        match refusal.code.guarantees_not_run() {
             true => {
                 // A primary that lacks its own log has started again.
                 let lost_log = latest && refusal.code == Code::Lagging;
@@ -257,7 +257,7 @@
             Ok(checkout) => checkout,
             Err(Failure::NotRun(refusal)) => {
                 last = refusal;
-                if !call.offers_again(Obstacle::Nobody) {
+                if !call.offers_again(Obstacle::NoServer) {
                     break;
                 }
                 tokio::time::sleep(OFFER_AGAIN).await;
@@ -293,7 +293,7 @@
                 session.committed(answer.position);
                 return Ok(success);
             }
-            Err(refusal) if refusal.code.not_run() => {
+            Err(refusal) if refusal.code.guarantees_not_run() => {
                 note_failure(group, backend, call, &refusal.to_string());
                 if refusal.code == Code::ReadOnly {
                     group.depose(backend);
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -193,7 +193,7 @@
 pub fn failed(effect: Effect, wrote: bool, refusal: Refusal) -> Refusal {
     let doubt = effect == Effect::Commit && wrote;
     match refusal.code {
-        code if code.promises_nothing_kept() => refusal,
+        code if code.guarantees_not_applied() => refusal,
         Code::Syntax | Code::NoStatement => refusal,
         _ if doubt => refusal,
         _ => Refusal::new(Code::Aborted, format!("rolled back: {refusal}")),
@@ -208,7 +208,7 @@
     call: &Call<'_>,
 ) -> Result<Pinned, Refusal> {
     let mut last = call.busy("no server can take the transaction", SEND_AGAIN);
-    let mut obstacle = Obstacle::Nobody;
+    let mut obstacle = Obstacle::NoServer;
     let doubtful = call.isolated || group.doubted();
     if doubtful && !transaction.read_only && !group.confirm(transaction.begun).await {
         return Err(call.unconfirmed());
@@ -240,7 +240,7 @@
             let mut checkout = match checkout(group, &backend, session, call).await {
                 Ok(checkout) => checkout,
                 Err(Failure::Full(refusal)) => {
-                    obstacle = Obstacle::FullQueue;
+                    obstacle = Obstacle::QueueFull;
                     last = refusal;
                     continue;
                 }
