--- a/crates/engine/src/catalog.rs
+++ b/crates/engine/src/catalog.rs
@@ -50,7 +50,7 @@
     /// Database groups by name.
     pub services: Map<String, Service>,
     /// How long a transaction may rest between statements.
-    pub transaction_idle: Duration,
+    pub transaction_idle_timeout: Duration,
 }
 
 impl Catalog {
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     refusal::{Code, Refusal},
-    statement::{Shape, Statement},
+    statement::{Definition, Statement},
     time::Moment,
 };
 
@@ -19,7 +19,7 @@
 const MOST_NAMES: usize = 1_000;
 
 /// The values a session has set, by name.
-pub type Values = Arc<BTreeMap<String, String>>;
+pub type Variables = Arc<BTreeMap<String, String>>;
 
 /// Where a session stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// A transaction is open.
     Open(Transaction),
     /// The transaction was rolled back while the caller rested, and the caller was not told yet.
-    Rested,
+    TimedOut,
     /// The transaction has failed and is rolled back; only its end is accepted.
     Failed,
 }
@@ -40,7 +40,7 @@
 pub struct Transaction {
     pub read_only: bool,
     /// When the caller opened it: its reads must see what was acknowledged before.
-    pub begun: Moment,
+    pub started_at: Moment,
     /// Whether it may have written on its connection.
     pub wrote: bool,
 }
@@ -55,8 +55,8 @@
 
 /// A named statement to run under a name of the connection's own.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
-    pub shape: Shape,
+pub struct Execution {
+    pub definition: Definition,
     pub arguments: String,
 }
 
@@ -72,7 +72,7 @@
     /// A backend server runs it; `named` if it is the run of a named statement.
     Run {
         effect: Effect,
-        named: Option<Named>,
+        named: Option<Execution>,
     },
 }
 
@@ -80,8 +80,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     phase: Phase,
-    values: Values,
-    prepared: Map<String, Shape>,
+    variables: Variables,
+    prepared: Map<String, Definition>,
     /// The position of the session's last acknowledged commit.
     floor: Option<Position>,
 }
@@ -93,8 +93,8 @@
     }
 
     /// The values its statements run under.
-    pub fn values(&self) -> &Values {
-        &self.values
+    pub fn variables(&self) -> &Variables {
+        &self.variables
     }
 
     /// What its reads must see of its own commits.
@@ -110,19 +110,19 @@
 
     /// Forgets the session's commits: it reads from another group now, whose log has nothing to
     /// do with them.
-    pub fn forget_floor(&mut self) {
+    pub fn clear_floor(&mut self) {
         self.floor = None;
     }
 
     /// Decides what a statement that arrived at `now` comes to.
     pub fn step(&mut self, statement: &Statement<'_>, now: Moment) -> Step {
         match (self.phase, statement) {
-            (Phase::Rested | Phase::Failed, Statement::Rollback) => self.end(Step::Done),
-            (Phase::Rested | Phase::Failed, Statement::Commit) => {
+            (Phase::TimedOut | Phase::Failed, Statement::Rollback) => self.end(Step::Done),
+            (Phase::TimedOut | Phase::Failed, Statement::Commit) => {
                 let why = "the transaction had failed and is rolled back";
                 self.end(Step::Refuse(Refusal::new(Code::Aborted, why)))
             }
-            (Phase::Rested, _) => {
+            (Phase::TimedOut, _) => {
                 self.phase = Phase::Failed;
                 let why = "the transaction rested too long and is rolled back";
                 Step::Refuse(Refusal::new(Code::Aborted, why))
@@ -137,7 +137,7 @@
             (Phase::Idle, Statement::Begin { read_only }) => {
                 self.phase = Phase::Open(Transaction {
                     read_only: *read_only,
-                    begun: now,
+                    started_at: now,
                     wrote: false,
                 });
                 Step::Done
@@ -147,14 +147,14 @@
             (_, Statement::Read) => run(Effect::Read, None),
             (_, Statement::Write) => self.write(None),
             (_, Statement::Set { name, value }) => self.set(name, value),
-            (_, Statement::Prepare { name, shape }) => self.prepare(name, shape),
+            (_, Statement::Prepare { name, definition }) => self.prepare(name, definition),
             (_, Statement::Deallocate { name }) => match self.prepared.remove(*name) {
                 Some(_) => Step::Done,
                 None => self.unknown_name(name),
             },
             (_, Statement::Execute { name, arguments }) => self.execute(name, arguments),
             (_, Statement::Reset) => {
-                self.values = Values::default();
+                self.variables = Variables::default();
                 self.prepared.clear();
                 Step::Done
             }
@@ -169,9 +169,9 @@
     }
 
     /// Notes that the open transaction has rested too long and is rolled back.
-    pub fn rested(&mut self) {
+    pub fn timed_out(&mut self) {
         if matches!(self.phase, Phase::Open(_)) {
-            self.phase = Phase::Rested;
+            self.phase = Phase::TimedOut;
         }
     }
 
@@ -202,7 +202,7 @@
         Step::Refuse(refusal)
     }
 
-    fn write(&mut self, named: Option<Named>) -> Step {
+    fn write(&mut self, named: Option<Execution>) -> Step {
         match self.phase {
             Phase::Open(Transaction {
                 read_only: true, ..
@@ -215,28 +215,28 @@
     }
 
     fn set(&mut self, name: &str, value: &str) -> Step {
-        if self.values.len() >= MOST_NAMES && !self.values.contains_key(name) {
+        if self.variables.len() >= MOST_NAMES && !self.variables.contains_key(name) {
             return self.fail(Refusal::new(Code::Syntax, "too many session values"));
         }
-        Arc::make_mut(&mut self.values).insert(name.to_owned(), value.to_owned());
+        Arc::make_mut(&mut self.variables).insert(name.to_owned(), value.to_owned());
         Step::Done
     }
 
-    fn prepare(&mut self, name: &str, shape: &Shape) -> Step {
+    fn prepare(&mut self, name: &str, definition: &Definition) -> Step {
         if self.prepared.len() >= MOST_NAMES && !self.prepared.contains_key(name) {
             return self.fail(Refusal::new(Code::Syntax, "too many prepared statements"));
         }
-        self.prepared.insert(name.to_owned(), shape.clone());
+        self.prepared.insert(name.to_owned(), definition.clone());
         Step::Done
     }
 
     fn execute(&mut self, name: &str, arguments: &str) -> Step {
-        let Some(shape) = self.prepared.get(name).cloned() else {
+        let Some(definition) = self.prepared.get(name).cloned() else {
             return self.unknown_name(name);
         };
-        let writes = shape.writes;
-        let named = Some(Named {
-            shape,
+        let writes = definition.writes;
+        let named = Some(Execution {
+            definition,
             arguments: arguments.to_owned(),
         });
         match writes {
@@ -251,7 +251,7 @@
     }
 }
 
-fn run(effect: Effect, named: Option<Named>) -> Step {
+fn run(effect: Effect, named: Option<Execution>) -> Step {
     Step::Run { effect, named }
 }
 
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -2,7 +2,7 @@
 
 /// What a prepared statement does, and the rest of its definition as the backend takes it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Shape {
+pub struct Definition {
     /// Whether running it changes data.
     pub writes: bool,
     /// The definition in the backend's words.
@@ -25,7 +25,10 @@
     /// Sets a session value.
     Set { name: &'a str, value: &'a str },
     /// Names a statement for the rest of the session.
-    Prepare { name: &'a str, shape: Shape },
+    Prepare {
+        name: &'a str,
+        definition: Definition,
+    },
     /// Runs a named statement.
     Execute { name: &'a str, arguments: &'a str },
     /// Forgets a named statement.
--- a/crates/engine/tests/session.rs
+++ b/crates/engine/tests/session.rs
@@ -6,7 +6,7 @@
 use dandelionpitch_engine::{
     refusal::Code,
     session::{Effect, Phase, Session, Step},
-    statement::{Shape, Statement},
+    statement::{Definition, Statement},
     time::Moment,
 };
 use yare::parameterized;
@@ -25,8 +25,8 @@
 
 fn prepare(name: &str, writes: bool) -> Statement<'_> {
     let text = "FETCH q1".to_owned();
-    let shape = Shape { writes, text };
-    Statement::Prepare { name, shape }
+    let definition = Definition { writes, text };
+    Statement::Prepare { name, definition }
 }
 
 fn code(step: &Step) -> Option<Code> {
@@ -80,7 +80,7 @@
 #[test]
 fn statement_after_a_long_rest_is_aborted() {
     let mut session = session(&[BEGIN]);
-    session.rested();
+    session.timed_out();
 
     let first = session.step(&Statement::Write, NOW);
     let second = session.step(&Statement::Write, NOW);
@@ -106,7 +106,7 @@
     };
     let named = named.expect("a named statement");
     assert_eq!(effect, Effect::Write);
-    assert!(named.shape.writes);
+    assert!(named.definition.writes);
     assert_eq!(named.arguments, "1a4 x");
 }
 
@@ -116,7 +116,7 @@
 
     let session = session(&[value("1"), BEGIN, value("2"), Statement::Rollback]);
 
-    assert_eq!(session.values().get("n").map(String::as_str), Some("2"));
+    assert_eq!(session.variables().get("n").map(String::as_str), Some("2"));
 }
 
 /// A caller cannot fill the proxy's memory with names.
--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -16,7 +16,7 @@
     life::Life,
     placement::Candidate,
     registry::{Entry, Server},
-    session::Values,
+    session::Variables,
     takeover::Status,
     time::Moment,
 };
@@ -265,13 +265,13 @@
     pub async fn status(&self) -> Result<Status, Error> {
         let asked = clock::now();
         let ask = async {
-            let values = Values::default();
+            let variables = Variables::default();
             let deadline = clock::now() + STATUS_TIMEOUT;
             let rank = Rank {
                 priority: MOST_IMPORTANT,
                 due: deadline,
             };
-            let lent = self.pool.checkout(&values, Wish { rank, deadline });
+            let lent = self.pool.checkout(&variables, Wish { rank, deadline });
             let Ok(mut checkout) = lent.await else {
                 return Err(Error::Timeout);
             };
--- a/crates/proxy/src/line/backend/connection.rs
+++ b/crates/proxy/src/line/backend/connection.rs
@@ -2,8 +2,8 @@
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
-    session::{Named, Session, Values},
-    statement::Shape,
+    session::{Execution, Session, Variables},
+    statement::Definition,
 };
 use dandelionpitch_platform::{
     backend::{Answer, Condition, Link, Query},
@@ -15,18 +15,18 @@
 pub struct Connection {
     pub link: Link,
     /// The session values in force on it.
-    pub values: Values,
+    pub variables: Variables,
     /// The named statements on it.
-    pub names: Map<Shape, String>,
+    pub names: Map<Definition, String>,
     /// It may hold values that are not in `values`.
     pub unclear: bool,
 }
 
 impl Connection {
     /// How much it takes to make its values those wanted: nothing, setting some, or clearing all.
-    pub fn effort(&self, wanted: &Values) -> u8 {
-        let foreign = || self.values.keys().any(|name| !wanted.contains_key(name));
-        match (self.unclear, &self.values == wanted) {
+    pub fn effort(&self, wanted: &Variables) -> u8 {
+        let foreign = || self.variables.keys().any(|name| !wanted.contains_key(name));
+        match (self.unclear, &self.variables == wanted) {
             (false, true) => 0,
             (false, false) if !foreign() => 1,
             _ => 2,
@@ -37,7 +37,7 @@
     pub fn new(link: Link) -> Self {
         Self {
             link,
-            values: Values::default(),
+            variables: Variables::default(),
             names: Map::default(),
             unclear: false,
         }
@@ -50,22 +50,22 @@
 /// its caller never set. Guard: values that the session does not have are cleared first, and
 /// nothing else is sent before all of it is acknowledged.
 pub async fn dress(connection: &mut Connection, session: &Session) -> Result<(), Error> {
-    let wanted = session.values();
-    if !connection.unclear && connection.values == *wanted {
+    let wanted = session.variables();
+    if !connection.unclear && connection.variables == *wanted {
         return Ok(());
     }
     let foreign = connection
-        .values
+        .variables
         .keys()
         .any(|name| !wanted.contains_key(name));
     let mut queries = Vec::new();
     if connection.unclear || foreign {
         queries.push(Query::Reset);
         connection.names.clear();
-        connection.values = Default::default();
+        connection.variables = Default::default();
     }
     for (name, value) in wanted.iter() {
-        if connection.values.get(name) != Some(value) {
+        if connection.variables.get(name) != Some(value) {
             queries.push(Query::Set { name, value });
         }
     }
@@ -74,7 +74,7 @@
     for _ in &queries {
         connection.link.answer().await?.result?;
     }
-    connection.values = wanted.clone();
+    connection.variables = wanted.clone();
     connection.unclear = false;
     Ok(())
 }
@@ -84,7 +84,7 @@
 pub struct Question<'a> {
     pub id: &'a str,
     pub text: &'a str,
-    pub named: Option<&'a Named>,
+    pub named: Option<&'a Execution>,
 }
 
 /// Sends a statement and reads its answer, preparing the named statement first if it has to.
@@ -94,7 +94,11 @@
     condition: Condition<'_>,
 ) -> Result<Answer, Error> {
     let Question { id, text, named } = question;
-    let Some(Named { shape, arguments }) = named else {
+    let Some(Execution {
+        definition,
+        arguments,
+    }) = named
+    else {
         let query = Query::Caller {
             id,
             text,
@@ -102,7 +106,7 @@
         };
         return connection.link.ask(query).await;
     };
-    let known = connection.names.get(shape).cloned();
+    let known = connection.names.get(definition).cloned();
     let name = match &known {
         Some(name) => name.clone(),
         None => format!("p{}", connection.names.len() + 1),
@@ -116,12 +120,15 @@
     if known.is_some() {
         return connection.link.ask(run).await;
     }
-    let prepare = Query::Prepare { name: &name, shape };
+    let prepare = Query::Prepare {
+        name: &name,
+        definition,
+    };
     connection.link.send(&[prepare, run]).await?;
     let prepared = connection.link.answer().await?;
     let answer = connection.link.answer().await?;
     if prepared.result.is_ok() {
-        connection.names.insert(shape.clone(), name);
+        connection.names.insert(definition.clone(), name);
     }
     Ok(answer)
 }
--- a/crates/proxy/src/line/backend/pool.rs
+++ b/crates/proxy/src/line/backend/pool.rs
@@ -15,7 +15,7 @@
 };
 
 use dandelionpitch_engine::{
-    admission::Mean, refusal::Code, registry::Server, session::Values, time::Moment,
+    admission::Mean, refusal::Code, registry::Server, session::Variables, time::Moment,
 };
 use dandelionpitch_platform::{backend::Link, Error};
 use tokio::sync::oneshot;
@@ -188,9 +188,13 @@
     }
 
     /// Lends a connection, preferring one that already has `values`.
-    pub async fn checkout(self: &Rc<Self>, values: &Values, wish: Wish) -> Result<Checkout, Miss> {
+    pub async fn checkout(
+        self: &Rc<Self>,
+        variables: &Variables,
+        wish: Wish,
+    ) -> Result<Checkout, Miss> {
         let left = clock::now().until(wish.deadline);
-        if let Some(connection) = self.take_idle(values) {
+        if let Some(connection) = self.take_idle(variables) {
             return Ok(self.lend(connection));
         }
         if self.may_open() {
@@ -214,11 +218,11 @@
         state.open < limit && !state.closed && clock::now() >= self.rest_until.get()
     }
 
-    fn take_idle(&self, values: &Values) -> Option<Box<Connection>> {
+    fn take_idle(&self, variables: &Variables) -> Option<Box<Connection>> {
         let mut state = self.state.borrow_mut();
         loop {
             let effort = |(index, connection): &(usize, &Connection)| {
-                (connection.effort(values), std::cmp::Reverse(*index))
+                (connection.effort(variables), std::cmp::Reverse(*index))
             };
             let easiest = state.idle.iter().enumerate().min_by_key(effort);
             let Some((index, _)) = easiest else { break };
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -6,7 +6,7 @@
     admission::{self, Obstacle},
     catalog::{Consistency, Route},
     refusal::{Code, Refusal},
-    session::{Effect, Named},
+    session::{Effect, Execution},
     time::Moment,
 };
 use serde_json::json;
@@ -41,7 +41,7 @@
     pub id: &'a str,
     pub text: &'a str,
     pub effect: Effect,
-    pub named: Option<&'a Named>,
+    pub named: Option<&'a Execution>,
     pub route: &'a Route,
     /// When its first bytes were read.
     pub arrived: Moment,
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -82,7 +82,7 @@
     if let Some(until) = backend.takes_work_until() {
         wish.deadline = wish.deadline.min(until);
     }
-    let mut checkout = backend.pool.checkout(session.values(), wish).await?;
+    let mut checkout = backend.pool.checkout(session.variables(), wish).await?;
     if !backend.takes_work(clock::now()) {
         checkout.release();
         let why = "its server leaves";
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -196,7 +196,7 @@
 
     fn rest_limit(&self) -> Duration {
         let catalog = self.shared.catalog();
-        catalog.map_or(Duration::MAX, |catalog| catalog.transaction_idle)
+        catalog.map_or(Duration::MAX, |catalog| catalog.transaction_idle_timeout)
     }
 
     /// Gives the connection of a resting transaction back to others.
@@ -207,7 +207,7 @@
         if let Some(pinned) = self.pinned.take() {
             pinned.roll_back();
         }
-        self.state.rested();
+        self.state.timed_out();
         journal::write("rested", json!({ "database": self.database }));
     }
 
@@ -363,7 +363,7 @@
         let route = catalog.and_then(|catalog| catalog.routes.get(&self.database).cloned());
         let moved = |old: &Arc<Route>| route.as_ref().is_some_and(|r| r.service != old.service);
         if self.route.as_ref().is_some_and(moved) {
-            self.state.forget_floor();
+            self.state.clear_floor();
         }
         self.route = route;
         match self.route {
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -210,14 +210,14 @@
     let mut last = call.busy("no server can take the transaction", SEND_AGAIN);
     let mut obstacle = Obstacle::NoServer;
     let doubtful = call.isolated || group.doubted();
-    if doubtful && !transaction.read_only && !group.confirm(transaction.begun).await {
+    if doubtful && !transaction.read_only && !group.confirm(transaction.started_at).await {
         return Err(call.unconfirmed());
     }
     loop {
         let after = match call.route.consistency {
             Consistency::Latest => group.reached(),
             Consistency::Bounded(_) | Consistency::Session(_) => {
-                let since = call.since(transaction.begun);
+                let since = call.since(transaction.started_at);
                 match group.floor(since, session.floor()).await {
                     Some(floor) => Some(floor),
                     None => return Err(call.busy("nothing proves what it must see", SEND_AGAIN)),
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -13,7 +13,7 @@
 
 use dandelionpitch_engine::{
     ownership::{Holding, Peer, Plan},
-    session::Values,
+    session::Variables,
 };
 use dandelionpitch_proxy::{
     line::{
@@ -273,7 +273,7 @@
         due: deadline,
     };
     let wish = Wish { rank, deadline };
-    let lent = peer.pool.checkout(&Values::default(), wish).await;
+    let lent = peer.pool.checkout(&Variables::default(), wish).await;
     lent.unwrap_or_else(|miss| panic!("no connection: {miss:?}"))
 }
 
