--- a/crates/engine/benches/fleet.rs
+++ b/crates/engine/benches/fleet.rs
@@ -10,7 +10,7 @@
 use dandelionpitch_engine::{
     feed::Place,
     mirror::{Change, Item, Mirror, Update},
-    ownership::{self, Asker, Holding, Peer, Plan, Room},
+    ownership::{self, Allocation, Limits, Peer, Plan, Query},
 };
 use measure::{median, resident};
 
@@ -65,8 +65,8 @@
     mirror
 }
 
-fn asker(service: &str) -> Asker<'_> {
-    Asker {
+fn query(service: &str) -> Query<'_> {
+    Query {
         own: OWN,
         dc: DC,
         service,
@@ -76,20 +76,20 @@
 fn main() {
     let before = fleet();
     let now: Vec<Peer> = before.iter().skip(1).cloned().collect();
-    let room = Room {
+    let limits = Limits {
         max_connections: 30,
         slots: 5,
     };
-    let holding = Holding::new(PROXIES, DCS, room);
+    let allocation = Allocation::new(PROXIES, DCS, limits);
     let services: Vec<String> = (0..GROUPS).map(|group| format!("g{group}")).collect();
-    let rank = |service: &String| ownership::plan(&before, OWN, DC, service, holding);
+    let rank = |service: &String| ownership::plan(&before, OWN, DC, service, allocation);
     let known: Vec<Plan> = services.iter().map(rank).collect();
 
     let anew = median(|| services.iter().for_each(|s| drop(black_box(rank(s)))));
     let carried = median(|| {
         let change = ownership::Change::new(&before, &now);
         for (service, known) in services.iter().zip(&known) {
-            let plan = ownership::replan(known, &change, &now, asker(service), holding);
+            let plan = ownership::replan(known, &change, &now, query(service), allocation);
             drop(black_box(plan));
         }
     });
--- a/crates/engine/src/handover.rs
+++ b/crates/engine/src/forwarding.rs
@@ -13,7 +13,7 @@
 /// What the statement's caller may expect. It travels with each statement, so the proxy that runs it
 /// goes by the configuration of the one that took it, which may be a newer one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Requirements {
     pub service: String,
     /// 0 is the most important.
     pub priority: u32,
@@ -26,7 +26,7 @@
     pub floor: Option<Position>,
 }
 
-impl Terms {
+impl Requirements {
     /// The terms of a statement that came `waited` ago on `route`.
     pub fn new(route: &Route, waited: Duration, floor: Option<Position>) -> Self {
         Self {
@@ -49,19 +49,19 @@
 /// Load pattern: one owner of a group is cut off from its servers, or its queue is full while
 /// another's is not. A refusal that says "not run" may be tried elsewhere, as long as the caller
 /// would not fare better by coming back itself.
-pub fn offers_again(code: Code, offers: usize, waited: Duration, target: Duration) -> bool {
+pub fn may_retry(code: Code, offers: usize, waited: Duration, target: Duration) -> bool {
     code.guarantees_not_run() && offers < OFFERS && admission::may_search(waited, target)
 }
 
-impl From<Terms> for Route {
-    fn from(terms: Terms) -> Self {
+impl From<Requirements> for Route {
+    fn from(requirements: Requirements) -> Self {
         Self {
             name: HANDED.to_owned(),
-            service: terms.service,
-            consistency: terms.consistency,
-            timeout: terms.timeout,
-            target: terms.target,
-            priority: terms.priority,
+            service: requirements.service,
+            consistency: requirements.consistency,
+            timeout: requirements.timeout,
+            target: requirements.target,
+            priority: requirements.priority,
         }
     }
 }
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -30,7 +30,7 @@
 ///
 /// Load pattern: some proxies are cut off from the others for seconds and still get their share
 /// of the callers. One connection each fits into the room that owners leave.
-pub const UNOWNED: usize = 1;
+pub const NON_OWNER_CONNECTIONS: usize = 1;
 
 /// Processor time that one statement of another proxy takes, in seconds: two messages read and
 /// written on each side.
@@ -61,42 +61,42 @@
 
 /// How many connections a group's servers take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Limits {
     pub max_connections: u32,
     pub slots: u32,
 }
 
 /// Who holds the connections of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holding {
+pub enum Allocation {
     /// Every proxy.
-    Everyone { members: usize },
+    All { members: usize },
     /// So many proxies of each of so many data centres.
     Owners { per_dc: usize, dcs: usize },
 }
 
-impl Holding {
+impl Allocation {
     /// Decides for `members` proxies in `dcs` data centres. Every proxy holds its own connections as
     /// long as there are enough for all: a statement then takes one hop less.
-    pub fn new(members: usize, dcs: usize, room: Room) -> Self {
-        if members * share::FEWEST * USED_PART <= share::usable(room.max_connections) {
-            return Self::Everyone { members };
+    pub fn new(members: usize, dcs: usize, limits: Limits) -> Self {
+        if members * share::FEWEST * USED_PART <= share::usable(limits.max_connections) {
+            return Self::All { members };
         }
         let dcs = dcs.max(1);
-        let owners = budget(room) / CONNECTIONS_EACH;
+        let owners = budget(limits) / CONNECTIONS_EACH;
         let per_dc = owners.div_ceil(dcs).max(1);
         Self::Owners { per_dc, dcs }
     }
 
     /// How many connections a proxy that holds some may open to a server.
-    pub fn connections(self, room: Room) -> usize {
+    pub fn connections(self, limits: Limits) -> usize {
         match self {
-            Self::Everyone { members } => {
-                share::connections(room.max_connections, room.slots, members)
+            Self::All { members } => {
+                share::connections(limits.max_connections, limits.slots, members)
             }
             Self::Owners { per_dc, dcs } => {
-                let useful = budget(room).div_ceil(per_dc * dcs);
-                let most = share::usable(room.max_connections) / (per_dc * dcs);
+                let useful = budget(limits).div_ceil(per_dc * dcs);
+                let most = share::usable(limits.max_connections) / (per_dc * dcs);
                 useful.max(CONNECTIONS_EACH).min(most).max(1)
             }
         }
@@ -104,19 +104,22 @@
 }
 
 /// How many connections to one server all owners together use.
-fn budget(room: Room) -> usize {
-    let useful = room.slots as usize * share::PER_SLOT;
-    useful.min(share::usable(room.max_connections) / USED_PART)
+fn budget(limits: Limits) -> usize {
+    let useful = limits.slots as usize * share::PER_SLOT;
+    useful.min(share::usable(limits.max_connections) / USED_PART)
 }
 
 /// What one proxy does with statements for a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
     /// Run them on its own connections.
-    Own,
+    Run,
     /// Hand them to one of these proxies, the first that takes them: those of its data centre, those of
     /// others, then those that are next in its own if all owners are gone.
-    HandOver { near: Vec<String>, far: Vec<String> },
+    Forward {
+        local: Vec<String>,
+        fallback: Vec<String>,
+    },
 }
 
 /// How many proxies that are no owners are named in case all owners are lost at once.
@@ -124,39 +127,39 @@
 
 /// The plan of the proxy `own` in `dc` for a group. One that is not among the proxies, as it has just
 /// started or stops, owns nothing if there are others.
-pub fn plan(peers: &[Peer], own: &str, dc: &str, service: &str, holding: Holding) -> Plan {
-    let Holding::Owners { per_dc, .. } = holding else {
-        return Plan::Own;
+pub fn plan(peers: &[Peer], own: &str, dc: &str, service: &str, allocation: Allocation) -> Plan {
+    let Allocation::Owners { per_dc, .. } = allocation else {
+        return Plan::Run;
     };
     if peers.is_empty() {
-        return Plan::Own;
+        return Plan::Run;
     }
     let ranked = rank(peers, service);
-    let mut near = Vec::new();
+    let mut local = Vec::new();
     let mut spare = Vec::new();
-    let mut far: Vec<&Peer> = Vec::new();
+    let mut fallback: Vec<&Peer> = Vec::new();
     for peer in ranked {
-        let of_its_dc = far.iter().filter(|other| other.dc == peer.dc).count();
+        let of_its_dc = fallback.iter().filter(|other| other.dc == peer.dc).count();
         match peer.dc == dc {
-            true if near.len() < per_dc => near.push(peer.id.clone()),
+            true if local.len() < per_dc => local.push(peer.id.clone()),
             true if spare.len() < SPARES => spare.push(peer.id.clone()),
-            false if of_its_dc < per_dc => far.push(peer),
+            false if of_its_dc < per_dc => fallback.push(peer),
             _ => {}
         }
     }
-    if near.iter().any(|id| id == own) {
-        return Plan::Own;
+    if local.iter().any(|id| id == own) {
+        return Plan::Run;
     }
-    let mut far: Vec<String> = far.into_iter().map(|peer| peer.id.clone()).collect();
-    far.extend(spare.into_iter().filter(|id| id != own));
-    Plan::HandOver { near, far }
+    let mut fallback: Vec<String> = fallback.into_iter().map(|peer| peer.id.clone()).collect();
+    fallback.extend(spare.into_iter().filter(|id| id != own));
+    Plan::Forward { local, fallback }
 }
 
 /// Which proxies came and went between two lists, both in the order of their ids.
 #[derive(Clone, Debug, Default)]
 pub struct Change<'a> {
-    come: Vec<&'a Peer>,
-    gone: Vec<&'a Peer>,
+    added: Vec<&'a Peer>,
+    removed: Vec<&'a Peer>,
 }
 
 impl<'a> Change<'a> {
@@ -164,8 +167,8 @@
     pub fn new(before: &'a [Peer], now: &'a [Peer]) -> Self {
         let among = |peers: &[Peer], peer: &Peer| find(peers, &peer.id) == Some(peer);
         Self {
-            come: now.iter().filter(|peer| !among(before, peer)).collect(),
-            gone: before.iter().filter(|peer| !among(now, peer)).collect(),
+            added: now.iter().filter(|peer| !among(before, peer)).collect(),
+            removed: before.iter().filter(|peer| !among(now, peer)).collect(),
         }
     }
 }
@@ -177,7 +180,7 @@
 
 /// Who asks for a plan, and of which group.
 #[derive(Clone, Copy, Debug)]
-pub struct Asker<'a> {
+pub struct Query<'a> {
     pub own: &'a str,
     pub dc: &'a str,
     pub service: &'a str,
@@ -192,13 +195,13 @@
     known: &Plan,
     change: &Change<'_>,
     peers: &[Peer],
-    asker: Asker<'_>,
-    holding: Holding,
+    query: Query<'_>,
+    allocation: Allocation,
 ) -> Plan {
-    let Asker { own, dc, service } = asker;
-    let keeps = match (known, holding) {
-        (Plan::HandOver { near, far }, Holding::Owners { per_dc, .. }) => {
-            let named = near.iter().chain(far);
+    let Query { own, dc, service } = query;
+    let keeps = match (known, allocation) {
+        (Plan::Forward { local, fallback }, Allocation::Owners { per_dc, .. }) => {
+            let named = local.iter().chain(fallback);
             let named: Vec<&str> = named.map(String::as_str).collect();
             let lost = |peer: &&Peer| named.contains(&peer.id.as_str());
             let joins = |peer: &&Peer| {
@@ -208,13 +211,13 @@
                 };
                 peer.id == own || would_be_named(peer, &named, peers, service, most)
             };
-            !change.gone.iter().any(lost) && !change.come.iter().any(joins)
+            !change.removed.iter().any(lost) && !change.added.iter().any(joins)
         }
         _ => false,
     };
     match keeps {
         true => known.clone(),
-        false => plan(peers, own, dc, service, holding),
+        false => plan(peers, own, dc, service, allocation),
     }
 }
 
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use dandelionpitch_engine::{
-    handover,
-    ownership::{self, Asker, Change, Holding, Peer, Plan, Room},
+    forwarding,
+    ownership::{self, Allocation, Change, Limits, Peer, Plan, Query},
     refusal::Code,
 };
 use yare::parameterized;
@@ -21,18 +21,18 @@
     (0..count).map(peer).collect()
 }
 
-fn room(max_connections: u32, slots: u32) -> Room {
-    Room {
+fn limits(max_connections: u32, slots: u32) -> Limits {
+    Limits {
         max_connections,
         slots,
     }
 }
 
 /// The owners of a group, as each proxy sees it for itself.
-fn owners(peers: &[Peer], service: &str, room: Room) -> Vec<String> {
-    let holding = Holding::new(peers.len(), DCS.len(), room);
+fn owners(peers: &[Peer], service: &str, limits: Limits) -> Vec<String> {
+    let allocation = Allocation::new(peers.len(), DCS.len(), limits);
     let owns =
-        |peer: &&Peer| ownership::plan(peers, &peer.id, &peer.dc, service, holding) == Plan::Own;
+        |peer: &&Peer| ownership::plan(peers, &peer.id, &peer.dc, service, allocation) == Plan::Run;
     let owners = peers.iter().filter(owns);
     owners.map(|peer| peer.id.clone()).collect()
 }
@@ -49,12 +49,12 @@
     hardly_any_connections = { 75, 6, 1 },
 )]
 fn connections_of_all_owners_fit(members: usize, max_connections: u32, slots: u32) {
-    let room = room(max_connections, slots);
+    let limits = limits(max_connections, slots);
     let peers = peers(members);
 
-    let holding = Holding::new(members, DCS.len(), room);
-    let owners = owners(&peers, "ledger", room).len();
-    let held = owners * holding.connections(room);
+    let allocation = Allocation::new(members, DCS.len(), limits);
+    let owners = owners(&peers, "ledger", limits).len();
+    let held = owners * allocation.connections(limits);
 
     assert!(owners >= DCS.len());
     assert!(
@@ -73,9 +73,9 @@
     seventy_five_before_49 = { 75, 49, 5, false },
 )]
 fn small_fleets_hold_their_own(members: usize, most: u32, slots: u32, expected: bool) {
-    let holding = Holding::new(members, DCS.len(), room(most, slots));
+    let allocation = Allocation::new(members, DCS.len(), limits(most, slots));
 
-    assert_eq!(matches!(holding, Holding::Everyone { .. }), expected);
+    assert_eq!(matches!(allocation, Allocation::All { .. }), expected);
 }
 
 /// Every proxy names owners of its own data centre first and all name the same: if each named
@@ -83,9 +83,9 @@
 #[test]
 fn all_proxies_name_the_same_owners() {
     let peers = peers(75);
-    let room = room(49, 5);
-    let owners = owners(&peers, "ledger", room);
-    let holding = Holding::new(75, DCS.len(), room);
+    let limits = limits(49, 5);
+    let owners = owners(&peers, "ledger", limits);
+    let allocation = Allocation::new(75, DCS.len(), limits);
     let dc = |id: &String| {
         peers
             .iter()
@@ -94,14 +94,14 @@
     };
 
     for peer in &peers {
-        let Plan::HandOver { near, far } =
-            ownership::plan(&peers, &peer.id, &peer.dc, "ledger", holding)
+        let Plan::Forward { local, fallback } =
+            ownership::plan(&peers, &peer.id, &peer.dc, "ledger", allocation)
         else {
             continue;
         };
-        assert!(near.iter().all(|id| dc(id) == Some(&peer.dc)), "{near:?}");
-        assert!(near.iter().all(|id| owners.contains(id)), "{near:?}");
-        assert_eq!(far.iter().filter(|id| owners.contains(id)).count(), 4);
+        assert!(local.iter().all(|id| dc(id) == Some(&peer.dc)), "{local:?}");
+        assert!(local.iter().all(|id| owners.contains(id)), "{local:?}");
+        assert_eq!(fallback.iter().filter(|id| owners.contains(id)).count(), 4);
     }
     assert_eq!(owners.len(), 6);
 }
@@ -111,15 +111,15 @@
 #[test]
 fn lost_owner_moves_only_its_own_groups() {
     let before = peers(75);
-    let room = room(49, 5);
-    let lost = owners(&before, "group-0", room).remove(0);
+    let limits = limits(49, 5);
+    let lost = owners(&before, "group-0", limits).remove(0);
     let after: Vec<Peer> = before.iter().filter(|p| p.id != lost).cloned().collect();
 
     for group in (0..8).map(|group| format!("group-{group}")) {
-        let mut kept = owners(&before, &group, room);
+        let mut kept = owners(&before, &group, limits);
         let owned = kept.contains(&lost);
         kept.retain(|id| *id != lost);
-        let now = owners(&after, &group, room);
+        let now = owners(&after, &group, limits);
 
         assert!(kept.iter().all(|id| now.contains(id)));
         assert_eq!(now.len() - kept.len(), usize::from(owned));
@@ -140,7 +140,7 @@
 
     let groups = (0..100).map(|group| format!("group-{group}"));
     let all: Vec<String> = groups
-        .flat_map(|group| owners(&peers, &group, room(21, 3)))
+        .flat_map(|group| owners(&peers, &group, limits(21, 3)))
         .collect();
     let weak = all.iter().filter(|id| id.as_str() < "proxy-15").count();
 
@@ -159,7 +159,7 @@
 fn statement_is_offered_to_the_next_owner(code: Code, offers: usize, waited: u64, expected: bool) {
     let waited = Duration::from_millis(waited);
 
-    let again = handover::offers_again(code, offers, waited, Duration::from_millis(400));
+    let again = forwarding::may_retry(code, offers, waited, Duration::from_millis(400));
 
     assert_eq!(again, expected);
 }
@@ -170,11 +170,11 @@
 #[test]
 fn proxy_that_has_just_started_owns_nothing() {
     let peers = peers(74);
-    let holding = Holding::new(75, DCS.len(), room(49, 5));
+    let allocation = Allocation::new(75, DCS.len(), limits(49, 5));
 
-    let plan = ownership::plan(&peers, "proxy-new", DCS[0], "ledger", holding);
+    let plan = ownership::plan(&peers, "proxy-new", DCS[0], "ledger", allocation);
 
-    assert!(matches!(plan, Plan::HandOver { near, .. } if near.len() == 2));
+    assert!(matches!(plan, Plan::Forward { local, .. } if local.len() == 2));
 }
 
 /// Proxies are restarted in turn among many. Plans that are carried over from list to list are those that
@@ -182,16 +182,16 @@
 #[test]
 fn plans_carried_over_are_those_ranked_anew() {
     let all = peers(60);
-    let holding = Holding::new(all.len(), DCS.len(), room(49, 5));
-    for asker in [&all[0], &all[7], &all[30]] {
+    let allocation = Allocation::new(all.len(), DCS.len(), limits(49, 5));
+    for query in [&all[0], &all[7], &all[30]] {
         for service in ["a", "b", "c"] {
-            let asker = Asker {
-                own: &asker.id,
-                dc: &asker.dc,
+            let query = Query {
+                own: &query.id,
+                dc: &query.dc,
                 service,
             };
             let mut before = all.clone();
-            let mut known = ownership::plan(&before, asker.own, asker.dc, service, holding);
+            let mut known = ownership::plan(&before, query.own, query.dc, service, allocation);
             for step in 0..120 {
                 // One goes, and the one that went before comes back.
                 let now: Vec<Peer> = (0..all.len())
@@ -200,10 +200,10 @@
                     .collect();
                 let change = Change::new(&before, &now);
 
-                known = ownership::replan(&known, &change, &now, asker, holding);
+                known = ownership::replan(&known, &change, &now, query, allocation);
 
-                let anew = ownership::plan(&now, asker.own, asker.dc, service, holding);
-                assert_eq!(known, anew, "{asker:?} step {step}");
+                let anew = ownership::plan(&now, query.own, query.dc, service, allocation);
+                assert_eq!(known, anew, "{query:?} step {step}");
                 before = now;
             }
         }
@@ -216,20 +216,20 @@
     let before = peers(60);
     let mut now = before.clone();
     now[30].capacity = 100_000.0;
-    let holding = Holding::new(before.len(), DCS.len(), room(49, 5));
-    let asker = Asker {
+    let allocation = Allocation::new(before.len(), DCS.len(), limits(49, 5));
+    let query = Query {
         own: &before[1].id,
         dc: &before[1].dc,
         service: "a",
     };
-    let known = ownership::plan(&before, asker.own, asker.dc, "a", holding);
+    let known = ownership::plan(&before, query.own, query.dc, "a", allocation);
 
     let change = Change::new(&before, &now);
-    let carried = ownership::replan(&known, &change, &now, asker, holding);
+    let carried = ownership::replan(&known, &change, &now, query, allocation);
 
     assert_eq!(
         carried,
-        ownership::plan(&now, asker.own, asker.dc, "a", holding)
+        ownership::plan(&now, query.own, query.dc, "a", allocation)
     );
     assert_ne!(carried, known);
 }
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -16,7 +16,7 @@
     feed::Place,
     members::Members,
     mirror::Update,
-    ownership::{self, Asker, Change, Holding, Peer, Room},
+    ownership::{self, Allocation, Change, Limits, Peer, Query},
     registry::{Entry, Registry, Server},
     time::Moment,
 };
@@ -309,23 +309,23 @@
         (before, change): (&View, &Change<'_>),
     ) -> Ownership {
         let slots = now.servers[name].iter().map(|entry| entry.server.slots);
-        let room = Room {
+        let limits = Limits {
             max_connections: service.max_connections,
             slots: slots.min().unwrap_or(1),
         };
         let dcs: Set<&str> = now.peers.iter().map(|peer| peer.dc.as_str()).collect();
-        let holding = Holding::new(now.members, dcs.len(), room);
-        let asker = Asker {
+        let allocation = Allocation::new(now.members, dcs.len(), limits);
+        let query = Query {
             own: &self.id,
             dc: &self.dc,
             service: name,
         };
         let known = before.ownership.get(name);
-        let plan = match known.filter(|known| known.holding == holding) {
-            Some(known) => ownership::replan(&known.plan, change, &now.peers, asker, holding),
-            None => ownership::plan(&now.peers, &self.id, &self.dc, name, holding),
+        let plan = match known.filter(|known| known.allocation == allocation) {
+            Some(known) => ownership::replan(&known.plan, change, &now.peers, query, allocation),
+            None => ownership::plan(&now.peers, &self.id, &self.dc, name, allocation),
         };
-        Ownership { holding, plan }
+        Ownership { allocation, plan }
     }
 
     fn publish(&self) {
--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -16,7 +16,7 @@
 use dandelionpitch_engine::{
     catalog::Service,
     freshness::{Lease, Mark, Marks},
-    ownership::{self, Holding, Room},
+    ownership::{self, Allocation, Limits},
     placement,
     registry::{Entry, Incarnation, Role},
     time::Moment,
@@ -112,7 +112,7 @@
         self: &Rc<Self>,
         entries: &[Entry],
         service: &Service,
-        holding: Holding,
+        allocation: Allocation,
         counted: Option<&[Incarnation]>,
     ) {
         self.sync_replicas.set(service.sync_replicas as usize);
@@ -120,13 +120,13 @@
         let old = std::mem::take(&mut *self.servers.borrow_mut());
         let mut servers = Vec::with_capacity(entries.len());
         for entry in entries {
-            let room = Room {
+            let limits = Limits {
                 max_connections: service.max_connections,
                 slots: entry.server.slots,
             };
             let limit = match self.owned.get() {
-                true => holding.connections(room),
-                false => ownership::UNOWNED,
+                true => allocation.connections(limits),
+                false => ownership::NON_OWNER_CONNECTIONS,
             };
             let same = |backend: &&Rc<Backend>| {
                 backend.server.incarnation == entry.server.incarnation
--- a/crates/proxy/src/line/operator.rs
+++ b/crates/proxy/src/line/operator.rs
@@ -93,7 +93,7 @@
 
 fn owned(view: &View) -> Vec<String> {
     let own = view.ownership.iter();
-    let own = own.filter(|(_, ownership)| ownership.plan == Plan::Own);
+    let own = own.filter(|(_, ownership)| ownership.plan == Plan::Run);
     let mut names: Vec<String> = own.map(|(name, _)| name.clone()).collect();
     names.sort_unstable();
     names
--- a/crates/proxy/src/line/peers.rs
+++ b/crates/proxy/src/line/peers.rs
@@ -91,12 +91,12 @@
     fn named(&self) -> Vec<String> {
         let plans = self.plans.borrow();
         let handed = plans.values().filter_map(|plan| match plan {
-            Plan::Own => None,
-            Plan::HandOver { near, far } => Some((near, far)),
+            Plan::Run => None,
+            Plan::Forward { local, fallback } => Some((local, fallback)),
         });
-        let (near, far): (Vec<_>, Vec<_>) = handed.unzip();
+        let (local, fallback): (Vec<_>, Vec<_>) = handed.unzip();
         let mut seen = Set::default();
-        let all = near.into_iter().chain(far).flatten();
+        let all = local.into_iter().chain(fallback).flatten();
         all.filter(|id| seen.insert(id.as_str())).cloned().collect()
     }
 
@@ -113,7 +113,7 @@
 
     /// Whether this proxy runs the group's statements itself.
     pub fn owns(&self, name: &str) -> bool {
-        !matches!(self.plans.borrow().get(name), Some(Plan::HandOver { .. }))
+        !matches!(self.plans.borrow().get(name), Some(Plan::Forward { .. }))
     }
 
     /// Some proxies of other data centres, others each time.
@@ -132,15 +132,15 @@
     /// take turns; those that failed a moment ago come last, those that are lost only if all are.
     pub fn of(&self, name: &str) -> Option<Vec<Rc<Backend>>> {
         let plans = self.plans.borrow();
-        let Some(Plan::HandOver { near, far }) = plans.get(name) else {
+        let Some(Plan::Forward { local, fallback }) = plans.get(name) else {
             return None;
         };
         let turn = self.turn.get();
         self.turn.set(turn.wrapping_add(1));
-        let mut ids: Vec<&String> = near.iter().collect();
+        let mut ids: Vec<&String> = local.iter().collect();
         let count = ids.len().max(1);
         ids.rotate_left(turn % count);
-        ids.extend(far);
+        ids.extend(fallback);
         let known = self.known.borrow();
         let mut peers: Vec<Rc<Backend>> = ids
             .iter()
--- a/crates/proxy/src/line/shared.rs
+++ b/crates/proxy/src/line/shared.rs
@@ -111,7 +111,7 @@
             if let (Some(service), Some(ownership)) = (service, ownership) {
                 let counted = view.counted.get(name).map(Vec::as_slice);
                 group.set_owned(self.peers.owns(name), settled);
-                group.update(entries, service, ownership.holding, counted);
+                group.update(entries, service, ownership.allocation, counted);
             }
         }
     }
--- a/crates/proxy/src/line/traffic/handover.rs
+++ b/crates/proxy/src/line/traffic/handover.rs
@@ -1,13 +1,13 @@
 //! Hands a caller's statements to a proxy that holds connections to their group. Which proxies those
-//! are is decided by [`engine::ownership`], whether another is tried by [`engine::handover`].
+//! are is decided by [`engine::ownership`], whether another is tried by [`engine::forwarding`].
 //!
 //! [`engine::ownership`]: dandelionpitch_engine::ownership
-//! [`engine::handover`]: dandelionpitch_engine::handover
+//! [`engine::forwarding`]: dandelionpitch_engine::forwarding
 
 use std::rc::Rc;
 
 use dandelionpitch_engine::{
-    handover::{self, Terms},
+    forwarding::{self, Requirements},
     refusal::{Code, Refusal},
     session::{Effect, Phase, Session, Transaction},
 };
@@ -62,7 +62,7 @@
                 if refusal.code.guarantees_not_run() {
                     shared.suspicion.notify_one();
                 }
-                if !handover::offers_again(refusal.code, offers, call.waited(), call.route.target) {
+                if !forwarding::may_retry(refusal.code, offers, call.waited(), call.route.target) {
                     return Handed::Answered(Err(refusal));
                 }
                 last = Some(refusal);
@@ -81,7 +81,7 @@
 ) -> Result<Success, Failure> {
     let checkout = checkout_peer(&shared.peers, peer, session, call).await?;
     shared.metrics.handed_over();
-    let terms = Terms::new(call.route, call.waited(), session.floor());
+    let terms = Requirements::new(call.route, call.waited(), session.floor());
     let asked = clock::now();
     let (answer, checkout) = exchange(checkout, peer, call, Condition::Terms(&terms)).await;
     let answer = answer.map_err(|why| {
@@ -142,7 +142,7 @@
         session.sent_write();
     }
     let wrote = transaction.wrote || call.effect == Effect::Write;
-    let terms = Terms::new(call.route, call.waited(), session.floor());
+    let terms = Requirements::new(call.route, call.waited(), session.floor());
     let (answer, checkout) = exchange(checkout, &backend, call, Condition::Terms(&terms)).await;
     let (answer, checkout) = match (answer, checkout) {
         (Ok(answer), Some(checkout)) => (answer, checkout),
@@ -207,7 +207,7 @@
             continue;
         };
         shared.metrics.handed_over();
-        let terms = Terms::new(call.route, call.waited(), session.floor());
+        let terms = Requirements::new(call.route, call.waited(), session.floor());
         let begin = Query::Begin {
             read_only: transaction.read_only,
             condition: Condition::Terms(&terms),
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -9,7 +9,7 @@
 
 use dandelionpitch_engine::{
     catalog::Route,
-    handover::Terms,
+    forwarding::Requirements,
     refusal::{Code, Refusal},
     session::{self as engine, Phase, Step},
     statement::Statement,
@@ -272,7 +272,7 @@
         id: &str,
         text: &str,
         statement: &Statement<'_>,
-        terms: Option<Terms>,
+        terms: Option<Requirements>,
         arrived: Moment,
     ) -> Result<Option<Success>, Refusal> {
         match self.origin {
@@ -344,7 +344,7 @@
 
     /// Takes the terms of another proxy's statement in place of a route of the own configuration. A
     /// statement that starts on a resting connection is of any session, whose last commit they name.
-    fn take_terms(&mut self, terms: Option<Terms>) {
+    fn take_terms(&mut self, terms: Option<Requirements>) {
         let Some(terms) = terms else { return };
         if self.state.phase() == Phase::Idle {
             self.state.set_floor(terms.floor);
--- a/crates/proxy/src/line/view.rs
+++ b/crates/proxy/src/line/view.rs
@@ -5,7 +5,7 @@
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
     catalog::Catalog,
-    ownership::{Holding, Peer, Plan},
+    ownership::{Allocation, Peer, Plan},
     registry::{Entry, Incarnation},
 };
 
@@ -30,7 +30,7 @@
 /// Who holds connections to the servers of a group, and what that means for this proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ownership {
-    pub holding: Holding,
+    pub allocation: Allocation,
     pub plan: Plan,
 }
 
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -12,7 +12,7 @@
 };
 
 use dandelionpitch_engine::{
-    ownership::{Holding, Peer, Plan},
+    ownership::{Allocation, Peer, Plan},
     session::Variables,
 };
 use dandelionpitch_proxy::{
@@ -78,12 +78,12 @@
 
 /// The group's statements go to the near owner first and then to the far ones.
 fn known(near: &Peer, far: &[&Peer]) -> Peers {
-    let plan = Plan::HandOver {
-        near: vec![near.id.clone()],
-        far: far.iter().map(|peer| peer.id.clone()).collect(),
+    let plan = Plan::Forward {
+        local: vec![near.id.clone()],
+        fallback: far.iter().map(|peer| peer.id.clone()).collect(),
     };
-    let holding = Holding::Owners { per_dc: 1, dcs: 2 };
-    let ownership = Ownership { holding, plan };
+    let allocation = Allocation::Owners { per_dc: 1, dcs: 2 };
+    let ownership = Ownership { allocation, plan };
     let view = View {
         peers: std::iter::once(near)
             .chain(far.iter().copied())
