--- a/crates/engine/benches/fleet.rs
+++ b/crates/engine/benches/fleet.rs
@@ -8,7 +8,7 @@
 use std::{hint::black_box, net::SocketAddr, time::Duration};
 
 use dandelionpitch_engine::{
-    feed::Place,
+    feed::Subscription,
     mirror::{Change, Item, Mirror, Update},
     ownership::{self, Allocation, Limits, Peer, Plan, Query},
 };
@@ -55,10 +55,10 @@
     };
     let entries = PROXIES + 3 * GROUPS;
     let mut mirror = Mirror::default();
-    for (whole, known) in [(true, 0..entries), (false, entries..entries + TOLD)] {
-        mirror.take(&Update {
+    for (is_snapshot, known) in [(true, 0..entries), (false, entries..entries + TOLD)] {
+        mirror.apply(&Update {
             revision: known.end as u64,
-            whole,
+            is_snapshot,
             changes: known.map(change).collect(),
         });
     }
@@ -93,11 +93,11 @@
             drop(black_box(plan));
         }
     });
-    let place = median(|| drop(black_box(Place::new(&now, OWN, DC))));
+    let place = median(|| drop(black_box(Subscription::new(&now, OWN, DC))));
     let empty = resident();
     let mirror = mirror();
     let kept = resident() - empty;
-    let told = median(|| drop(black_box(mirror.after(mirror.revision() - TOLD as u64))));
+    let told = median(|| drop(black_box(mirror.since(mirror.revision() - TOLD as u64))));
 
     let bound = Duration::from_secs_f64(SHARE * SECONDS_A_DAY / CHANGES_A_DAY);
     println!("owners: {anew:.1?} ranked anew, {carried:.1?} carried over, bound {bound:.1?}");
--- a/crates/engine/src/delta.rs
+++ b/crates/engine/src/delta.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
     /// A part of the value before.
-    Kept {
+    Copy {
         from: usize,
         length: usize,
     },
-    New(Vec<u8>),
+    Literal(Vec<u8>),
 }
 
 /// Values are compared by the parts that end here: the end of an object in JSON.
@@ -24,18 +24,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta {
     /// The revision of the earlier one.
-    pub of: u64,
+    pub base_revision: u64,
     /// Tells whether the result is the value that was meant.
-    pub check: u64,
+    pub checksum: u64,
     pub pieces: Vec<Piece>,
 }
 
 impl Delta {
     /// What makes `new` of `old`, which was written at the revision `of`.
-    pub fn new(of: u64, old: &[u8], new: &[u8]) -> Self {
+    pub fn new(base_revision: u64, old: &[u8], new: &[u8]) -> Self {
         Self {
-            of,
-            check: hash::salt(&new),
+            base_revision,
+            checksum: hash::salt(&new),
             pieces: diff(old, new),
         }
     }
@@ -43,8 +43,8 @@
     /// The value meant; `None` if `old`, which was written at the revision `at`, is another one than it
     /// was made of.
     pub fn apply(&self, at: u64, old: &[u8]) -> Option<Vec<u8>> {
-        let value = apply(old, &self.pieces).filter(|_| at == self.of)?;
-        (hash::salt(&value.as_slice()) == self.check).then_some(value)
+        let value = apply(old, &self.pieces).filter(|_| at == self.base_revision)?;
+        (hash::salt(&value.as_slice()) == self.checksum).then_some(value)
     }
 }
 
@@ -58,17 +58,17 @@
     let mut pieces = Vec::new();
     for part in parts(new) {
         match (known.get(part), pieces.last_mut()) {
-            (Some(_), Some(Piece::Kept { from, length }))
+            (Some(_), Some(Piece::Copy { from, length }))
                 if old[*from + *length..].starts_with(part) =>
             {
                 *length += part.len();
             }
-            (Some(&from), _) => pieces.push(Piece::Kept {
+            (Some(&from), _) => pieces.push(Piece::Copy {
                 from,
                 length: part.len(),
             }),
-            (None, Some(Piece::New(bytes))) => bytes.extend_from_slice(part),
-            (None, _) => pieces.push(Piece::New(part.to_vec())),
+            (None, Some(Piece::Literal(bytes))) => bytes.extend_from_slice(part),
+            (None, _) => pieces.push(Piece::Literal(part.to_vec())),
         }
     }
     pieces
@@ -82,11 +82,11 @@
     let mut value = Vec::new();
     for piece in pieces {
         match piece {
-            Piece::Kept { from, length } => {
+            Piece::Copy { from, length } => {
                 let end = from.checked_add(*length)?;
                 value.extend_from_slice(old.get(*from..end)?);
             }
-            Piece::New(bytes) => value.extend_from_slice(bytes),
+            Piece::Literal(bytes) => value.extend_from_slice(bytes),
         }
     }
     Some(value)
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -22,11 +22,11 @@
 /// second must fit into the time for which a list of servers is gone by ([`LIST_HOLDS`]).
 ///
 /// [`LIST_HOLDS`]: crate::roster::LIST_HOLDS
-pub const WAIT: Duration = Duration::from_millis(1_500);
+pub const POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How old a proxy's knowledge may be for it to feed others: a feeder's between two answers, with the
 /// time after which a silent store counts as lost.
-pub const FRESH_ENOUGH: Duration = Duration::from_millis(4_000);
+pub const MAX_RELAY_AGE: Duration = Duration::from_millis(4_000);
 
 /// How long another proxy that failed is not asked again, if there is another source.
 const PEER_REST: Duration = Duration::from_millis(1_000);
@@ -46,7 +46,7 @@
 
 /// The feeders of the data centre `dc`, first the strongest VMs: each change goes out from them as
 /// often as they have followers.
-pub fn feeders<'a>(peers: &'a [Peer], dc: &str) -> Vec<&'a Peer> {
+pub fn relays<'a>(peers: &'a [Peer], dc: &str) -> Vec<&'a Peer> {
     let mut near: Vec<&Peer> = peers.iter().filter(|peer| peer.dc == dc).collect();
     near.sort_by_cached_key(|peer| (Reverse(peer.capacity as u64), hash::salt(&peer.id)));
     near.truncate(FEEDERS);
@@ -55,27 +55,27 @@
 
 /// Where one proxy stands among those that feed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Subscription {
     /// Whether it watches the store itself.
-    pub feeds: bool,
+    pub is_relay: bool,
     /// Whom it asks, best first; the store is among them.
     pub sources: Vec<Source>,
 }
 
-impl Place {
+impl Subscription {
     /// The place of the proxy `own` of `dc` among `peers`. A proxy that does not find itself there yet
     /// feeds only where there are too few feeders without it.
     pub fn new(peers: &[Peer], own: &str, dc: &str) -> Self {
-        let near = feeders(peers, dc);
-        let feeds = near.len() < FEEDERS || near.iter().any(|peer| peer.id == own);
+        let near = relays(peers, dc);
+        let is_relay = near.len() < FEEDERS || near.iter().any(|peer| peer.id == own);
         let others = near.into_iter().filter(|peer| peer.id != own);
         let mut sources = ordered(others.collect(), own);
         sources.extend(outside(peers, own, dc));
-        match feeds {
+        match is_relay {
             true => sources.insert(0, Source::Store),
             false => sources.push(Source::Store),
         }
-        Self { feeds, sources }
+        Self { is_relay, sources }
     }
 }
 
@@ -85,7 +85,7 @@
     dcs.sort_unstable();
     dcs.dedup();
     let others = dcs.into_iter().filter(|other| *other != dc);
-    let far = others.flat_map(|other| feeders(peers, other)).collect();
+    let far = others.flat_map(|other| relays(peers, other)).collect();
     let mut sources = ordered(far, own);
     sources.truncate(OUTSIDE);
     sources
@@ -107,38 +107,44 @@
 impl Failures {
     /// The source to ask now: the best of those that did not fail a moment ago, or the one whose rest
     /// is over first.
-    pub fn choose(&self, place: &Place, now: Moment) -> Source {
-        let mut sources = place.sources.iter();
-        let ready = sources.find(|source| !self.rests(source, place, now));
-        let rested = |source: &Source| Some(*self.failed.get(source)? + place.rest(source));
-        let first = || place.sources.iter().min_by_key(|source| rested(source));
+    pub fn choose(&self, subscription: &Subscription, now: Moment) -> Source {
+        let mut sources = subscription.sources.iter();
+        let ready = sources.find(|source| !self.is_backing_off(source, subscription, now));
+        let ready_at =
+            |source: &Source| Some(*self.failed.get(source)? + subscription.rest(source));
+        let first = || subscription.sources.iter().min_by_key(|s| ready_at(s));
         ready.or_else(first).cloned().unwrap_or(Source::Store)
     }
 
     /// Whether a source failed a moment ago and is better left alone.
-    pub fn rests(&self, source: &Source, place: &Place, now: Moment) -> bool {
+    pub fn is_backing_off(
+        &self,
+        source: &Source,
+        subscription: &Subscription,
+        now: Moment,
+    ) -> bool {
         let failed = self.failed.get(source);
-        failed.is_some_and(|failed| now < *failed + place.rest(source))
+        failed.is_some_and(|failed| now < *failed + subscription.rest(source))
     }
 
     /// Notes that a source failed.
-    pub fn note(&mut self, source: &Source, now: Moment) {
+    pub fn record(&mut self, source: &Source, now: Moment) {
         let recent = |failed: &Moment| now.since(*failed) < STORE_REST_OF_FOLLOWERS;
         self.failed.retain(|_, failed| recent(failed));
         self.failed.insert(source.clone(), now);
     }
 
     /// Notes that a source answered.
-    pub fn forget(&mut self, source: &Source) {
+    pub fn clear(&mut self, source: &Source) {
         self.failed.remove(source);
     }
 }
 
-impl Place {
+impl Subscription {
     fn rest(&self, source: &Source) -> Duration {
         match source {
             Source::Peer(_) => PEER_REST,
-            Source::Store if self.feeds => STORE_REST,
+            Source::Store if self.is_relay => STORE_REST,
             Source::Store => STORE_REST_OF_FOLLOWERS,
         }
     }
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -34,13 +34,13 @@
 
 impl Members {
     /// Notes a proxy that is there.
-    pub fn present(&mut self, name: &str, peer: Option<Peer>) {
+    pub fn mark_present(&mut self, name: &str, peer: Option<Peer>) {
         let missing = None;
         self.seen.insert(name.to_owned(), Member { peer, missing });
     }
 
     /// Notes a proxy that is not there any more.
-    pub fn missing(&mut self, name: &str, now: Moment) {
+    pub fn mark_missing(&mut self, name: &str, now: Moment) {
         if let Some(member) = self.seen.get_mut(name) {
             member.missing.get_or_insert(now);
         }
@@ -51,7 +51,7 @@
         for member in self.seen.values_mut() {
             member.missing.get_or_insert(now);
         }
-        present.for_each(|(name, peer)| self.present(&name, peer));
+        present.for_each(|(name, peer)| self.mark_present(&name, peer));
     }
 
     /// How many share the connections; at least one.
--- a/crates/engine/src/mirror.rs
+++ b/crates/engine/src/mirror.rs
@@ -51,7 +51,7 @@
     /// The revision reached with it.
     pub revision: u64,
     /// Whether these are all keys there are, and others are gone.
-    pub whole: bool,
+    pub is_snapshot: bool,
     pub changes: Vec<Change<V>>,
 }
 
@@ -98,17 +98,17 @@
     ///
     /// Failure: the store came back from a copy, and what changed since is taken for all there is, beside
     /// keys that are gone. Guard: a later era begins with everything, and so does whoever is told of it.
-    pub fn take(&mut self, update: &Update<V>) -> bool {
+    pub fn apply(&mut self, update: &Update<V>) -> bool {
         if update.revision < self.revision {
             return false;
         }
         if self.revision != 0 && era::of(update.revision) > era::of(self.revision) {
-            if !update.whole {
+            if !update.is_snapshot {
                 return false;
             }
             *self = Self::default();
         }
-        if update.whole {
+        if update.is_snapshot {
             self.drop_missing(update);
         }
         for change in &update.changes {
@@ -122,9 +122,9 @@
     }
 
     /// What somebody at revision `after` has missed.
-    pub fn after(&self, after: u64) -> Update<V> {
-        let whole = after < self.horizon;
-        let from = match whole {
+    pub fn since(&self, after: u64) -> Update<V> {
+        let is_snapshot = after < self.horizon;
+        let from = match is_snapshot {
             true => 0,
             false => after + 1,
         };
@@ -138,7 +138,7 @@
             }))
         });
         let removed = self.removed.iter();
-        let removed = removed.filter(|(revision, _)| !whole && *revision > after);
+        let removed = removed.filter(|(revision, _)| !is_snapshot && *revision > after);
         let removed = removed.map(|(revision, key)| Change::Removed {
             key: key.clone(),
             revision: *revision,
@@ -147,7 +147,7 @@
         changes.sort_by_key(Change::revision);
         Update {
             revision: self.revision,
-            whole,
+            is_snapshot,
             changes,
         }
     }
--- a/crates/engine/tests/delta.rs
+++ b/crates/engine/tests/delta.rs
@@ -26,8 +26,8 @@
 
 fn new_bytes(pieces: &[Piece]) -> usize {
     let new = |piece: &Piece| match piece {
-        Piece::New(bytes) => bytes.len(),
-        Piece::Kept { .. } => 0,
+        Piece::Literal(bytes) => bytes.len(),
+        Piece::Copy { .. } => 0,
     };
     pieces.iter().map(new).sum()
 }
--- a/crates/engine/tests/feed.rs
+++ b/crates/engine/tests/feed.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use dandelionpitch_engine::{
-    feed::{self, Failures, Place, Source, FRESH_ENOUGH, WAIT},
+    feed::{self, Failures, Source, Subscription, MAX_RELAY_AGE, POLL_TIMEOUT},
     ownership::Peer,
     roster::LIST_HOLDS,
     time::Moment,
@@ -41,7 +41,7 @@
 
         let watching = peers
             .iter()
-            .filter(|peer| Place::new(&peers, &peer.id, &peer.dc).feeds);
+            .filter(|peer| Subscription::new(&peers, &peer.id, &peer.dc).is_relay);
 
         assert_eq!(watching.count(), 6, "{each} in each data centre");
     }
@@ -52,18 +52,18 @@
 #[test]
 fn strong_proxies_feed_and_share_the_followers() {
     let peers = fleet(&["a", "b"], 40);
-    let feeders = feed::feeders(&peers, "a");
-    let places = peers.iter().filter(|peer| peer.dc == "a").map(|peer| {
-        let place = Place::new(&peers, &peer.id, "a");
-        place.sources.into_iter().next()
+    let relays = feed::relays(&peers, "a");
+    let subscriptions = peers.iter().filter(|peer| peer.dc == "a").map(|peer| {
+        let subscription = Subscription::new(&peers, &peer.id, "a");
+        subscription.sources.into_iter().next()
     });
 
-    let first = Source::Peer(feeders[0].id.clone());
-    let asked = places
+    let first = Source::Peer(relays[0].id.clone());
+    let asked = subscriptions
         .filter(|source| source.as_ref() == Some(&first))
         .count();
 
-    assert!(feeders.iter().all(|peer| peer.capacity > 500.0));
+    assert!(relays.iter().all(|peer| peer.capacity > 500.0));
     assert!((10..=30).contains(&asked), "{asked} of 38 ask the first");
 }
 
@@ -72,11 +72,13 @@
 fn few_proxies_watch_for_themselves() {
     let peers = fleet(&["a", "b", "c"], 2);
 
-    let places = peers.iter().map(|p| Place::new(&peers, &p.id, &p.dc));
+    let subscriptions = peers
+        .iter()
+        .map(|p| Subscription::new(&peers, &p.id, &p.dc));
 
-    assert!(places
+    assert!(subscriptions
         .into_iter()
-        .all(|p| p.feeds && p.sources[0] == Source::Store));
+        .all(|p| p.is_relay && p.sources[0] == Source::Store));
 }
 
 /// A proxy that has just started is not among the others yet. It does not become one more feeder.
@@ -84,8 +86,8 @@
 fn starting_proxy_follows() {
     let peers = fleet(&["a", "b"], 10);
 
-    assert!(!Place::new(&peers, "a-new", "a").feeds);
-    assert!(Place::new(&[], "a-new", "a").feeds);
+    assert!(!Subscription::new(&peers, "a-new", "a").is_relay);
+    assert!(Subscription::new(&[], "a-new", "a").is_relay);
 }
 
 /// Both feeders of a data centre are lost. Its followers ask those of others next, and the store last: it may be
@@ -94,35 +96,35 @@
 #[test]
 fn lost_feeders_are_passed_over_and_asked_again() {
     let peers = fleet(&["a", "b", "c"], 10);
-    let place = Place::new(&peers, "a-1", "a");
+    let subscription = Subscription::new(&peers, "a-1", "a");
     let mut failures = Failures::default();
     let mut asked = Vec::new();
-    for _ in 0..place.sources.len() {
-        let source = failures.choose(&place, at(1_000));
-        failures.note(&source, at(1_000));
+    for _ in 0..subscription.sources.len() {
+        let source = failures.choose(&subscription, at(1_000));
+        failures.record(&source, at(1_000));
         asked.push(source);
     }
 
-    let meanwhile = failures.choose(&place, at(1_500));
-    let later = failures.choose(&place, at(2_100));
+    let meanwhile = failures.choose(&subscription, at(1_500));
+    let later = failures.choose(&subscription, at(2_100));
 
-    assert_eq!(asked, place.sources);
+    assert_eq!(asked, subscription.sources);
     assert_eq!(asked.last(), Some(&Source::Store));
-    assert!(failures.rests(&meanwhile, &place, at(1_500)));
-    assert_eq!(later, place.sources[0]);
+    assert!(failures.is_backing_off(&meanwhile, &subscription, at(1_500)));
+    assert_eq!(later, subscription.sources[0]);
 }
 
 /// The store is away for ten seconds. Of its followers' questions few meet the store itself.
 #[test]
 fn followers_leave_an_absent_store_alone() {
     let peers = fleet(&["a", "b", "c"], 10);
-    let place = Place::new(&peers, "a-1", "a");
+    let subscription = Subscription::new(&peers, "a-1", "a");
     let mut failures = Failures::default();
     let mut calls = 0;
     for now in (0..10_000).step_by(250) {
-        let source = failures.choose(&place, at(now));
+        let source = failures.choose(&subscription, at(now));
         calls += usize::from(source == Source::Store);
-        failures.note(&source, at(now));
+        failures.record(&source, at(now));
     }
 
     assert!(calls <= 3, "{calls} calls");
@@ -132,13 +134,13 @@
 #[test]
 fn feeder_without_the_store_follows() {
     let peers = fleet(&["a", "b"], 10);
-    let own = feed::feeders(&peers, "a")[0].id.clone();
-    let place = Place::new(&peers, &own, "a");
+    let own = feed::relays(&peers, "a")[0].id.clone();
+    let subscription = Subscription::new(&peers, &own, "a");
     let mut failures = Failures::default();
 
-    let first = failures.choose(&place, at(1_000));
-    failures.note(&first, at(1_000));
-    let second = failures.choose(&place, at(1_000));
+    let first = failures.choose(&subscription, at(1_000));
+    failures.record(&first, at(1_000));
+    let second = failures.choose(&subscription, at(1_000));
 
     assert_eq!(first, Source::Store);
     assert!(matches!(second, Source::Peer(id) if id.starts_with('a') && id != own));
@@ -160,9 +162,9 @@
 /// go by, just before the next answer.
 #[test]
 fn calm_hours_keep_lists_young() {
-    let feeder = 2 * WAIT;
-    let follower = feeder + WAIT;
+    let feeder = 2 * POLL_TIMEOUT;
+    let follower = feeder + POLL_TIMEOUT;
 
-    assert!(feeder < FRESH_ENOUGH);
+    assert!(feeder < MAX_RELAY_AGE);
     assert!(follower + millis(500) < LIST_HOLDS);
 }
--- a/crates/engine/tests/interleavings/follower.rs
+++ b/crates/engine/tests/interleavings/follower.rs
@@ -4,7 +4,7 @@
 
 use dandelionpitch_core::hash::{self, Map};
 use dandelionpitch_engine::{
-    feed::FRESH_ENOUGH,
+    feed::MAX_RELAY_AGE,
     registry::{Entry, Incarnation, Registry, Role, Server},
 };
 
@@ -86,7 +86,7 @@
     /// the store itself is out of reach.
     fn hear(&self, cluster: &Cluster) -> Option<(u64, Store)> {
         let (heard, store) = &cluster.fed;
-        let fresh = cluster.now - heard <= steps(FRESH_ENOUGH) && *heard >= self.followed;
+        let fresh = cluster.now - heard <= steps(MAX_RELAY_AGE) && *heard >= self.followed;
         let asks_peer = hash::salt(&(cluster.now, self.node)).is_multiple_of(2);
         match asks_peer && fresh {
             true => Some((*heard, store.clone())),
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -182,8 +182,8 @@
     let names: Vec<String> = (0..7).map(|n| format!("proxy-{n}")).collect();
     members.replace(names.iter().map(|name| (name.clone(), None)), at(0));
 
-    members.missing("proxy-1", at(1_000));
-    members.missing("proxy-2", at(1_000));
+    members.mark_missing("proxy-1", at(1_000));
+    members.mark_missing("proxy-2", at(1_000));
 
     let counts = [at(2_000), at(15_000), at(22_000)].map(|now| members.count(now));
     assert_eq!(counts, [7, 7, 5]);
--- a/crates/engine/tests/mirror.rs
+++ b/crates/engine/tests/mirror.rs
@@ -20,10 +20,14 @@
     }
 }
 
-fn update(revision: u64, whole: bool, changes: &[Change<&'static str>]) -> Update<&'static str> {
+fn update(
+    revision: u64,
+    is_snapshot: bool,
+    changes: &[Change<&'static str>],
+) -> Update<&'static str> {
     Update {
         revision,
-        whole,
+        is_snapshot,
         changes: changes.to_vec(),
     }
 }
@@ -32,8 +36,8 @@
 fn mirror() -> Mirror<&'static str> {
     let mut mirror = Mirror::default();
     let all = [written("config", 4, "v1"), written("server", 9, "up")];
-    mirror.take(&update(10, true, &all));
-    mirror.take(&update(
+    mirror.apply(&update(10, true, &all));
+    mirror.apply(&update(
         13,
         false,
         &[written("config", 12, "v2"), removed("server", 13)],
@@ -45,11 +49,11 @@
 fn follower_is_told_what_it_has_missed() {
     let mirror = mirror();
 
-    let told = mirror.after(11);
+    let told = mirror.since(11);
 
     let missed = [written("config", 12, "v2"), removed("server", 13)];
     assert_eq!(told, update(13, false, &missed));
-    assert_eq!(mirror.after(13), update(13, false, &[]));
+    assert_eq!(mirror.since(13), update(13, false, &[]));
 }
 
 /// A follower has reached a revision before the mirror's first list. What was removed until then is
@@ -58,13 +62,13 @@
 fn follower_from_before_the_first_list_is_told_everything() {
     let mirror = mirror();
     let mut follower = Mirror::default();
-    follower.take(&update(3, true, &[written("gone", 2, "x")]));
+    follower.apply(&update(3, true, &[written("gone", 2, "x")]));
 
-    let told = mirror.after(3);
-    follower.take(&told);
+    let told = mirror.since(3);
+    follower.apply(&told);
 
-    assert!(told.whole);
-    assert_eq!(follower.after(0).changes, [written("config", 12, "v2")]);
+    assert!(told.is_snapshot);
+    assert_eq!(follower.since(0).changes, [written("config", 12, "v2")]);
 }
 
 /// A follower turns from one source to another that is behind the first. Its updates are older than
@@ -73,11 +77,11 @@
 fn older_updates_change_nothing() {
     let mut mirror = mirror();
 
-    let taken = mirror.take(&update(11, true, &[written("config", 4, "v1")]));
+    let taken = mirror.apply(&update(11, true, &[written("config", 4, "v1")]));
 
     assert!(!taken);
     assert_eq!(mirror.revision(), 13);
-    assert_eq!(mirror.after(0).changes, [written("config", 12, "v2")]);
+    assert_eq!(mirror.since(0).changes, [written("config", 12, "v2")]);
 }
 
 /// The store has forgotten its history, so the mirror is read anew, and a server's entry is not there any
@@ -85,11 +89,11 @@
 #[test]
 fn removals_found_by_reading_anew_are_told() {
     let mut mirror = mirror();
-    mirror.take(&update(14, false, &[written("other", 14, "y")]));
+    mirror.apply(&update(14, false, &[written("other", 14, "y")]));
 
-    mirror.take(&update(20, true, &[written("config", 12, "v2")]));
+    mirror.apply(&update(20, true, &[written("config", 12, "v2")]));
 
-    assert_eq!(mirror.after(14), update(20, false, &[removed("other", 20)]));
+    assert_eq!(mirror.since(14), update(20, false, &[removed("other", 20)]));
 }
 
 /// Entries come and go by the thousand. The removals that are remembered are bounded; whoever has
@@ -99,12 +103,12 @@
     let mut mirror = mirror();
     for revision in (14..10_000).step_by(2) {
         let come_and_gone = [written("k", revision, "x"), removed("k", revision + 1)];
-        mirror.take(&update(revision + 1, false, &come_and_gone));
+        mirror.apply(&update(revision + 1, false, &come_and_gone));
     }
 
-    assert!(mirror.after(13).whole);
-    assert!(!mirror.after(9_900).whole);
-    assert!(mirror.after(9_900).changes.len() < 100);
+    assert!(mirror.since(13).is_snapshot);
+    assert!(!mirror.since(9_900).is_snapshot);
+    assert!(mirror.since(9_900).changes.len() < 100);
 }
 
 /// The store came back from a copy and counts from there. Guards against a follower that keeps what is gone,
@@ -114,22 +118,22 @@
     let mut mirror = mirror();
     let again = |revision| era::stamp(1, revision);
 
-    let changes = mirror.take(&update(
+    let changes = mirror.apply(&update(
         again(9),
         false,
         &[written("config", again(9), "v3")],
     ));
-    let whole = mirror.take(&update(
+    let whole = mirror.apply(&update(
         again(8),
         true,
         &[written("config", again(4), "v1")],
     ));
-    mirror.take(&update(
+    mirror.apply(&update(
         again(9),
         false,
         &[written("server", again(9), "up")],
     ));
-    let told = mirror.after(13);
+    let told = mirror.since(13);
 
     assert!(!changes && whole);
     let all = [
@@ -143,10 +147,10 @@
 #[test]
 fn earlier_era_changes_nothing() {
     let mut mirror = mirror();
-    mirror.take(&update(era::stamp(1, 2), true, &[]));
+    mirror.apply(&update(era::stamp(1, 2), true, &[]));
 
-    let taken = mirror.take(&update(4_000, true, &[written("config", 12, "v2")]));
+    let taken = mirror.apply(&update(4_000, true, &[written("config", 12, "v2")]));
 
     assert!(!taken);
-    assert_eq!(mirror.after(0).changes, []);
+    assert_eq!(mirror.since(0).changes, []);
 }
--- a/crates/proxy/src/line/control/duty.rs
+++ b/crates/proxy/src/line/control/duty.rs
@@ -93,7 +93,7 @@
         {
             let share = backoff::share(&(&control.name, clock::now().millis()));
             let age = clock::now().since(control.started);
-            let feeds = control.place.borrow().feeds;
+            let feeds = control.place.borrow().is_relay;
             tokio::time::sleep(SPREAD.mul_f64(share) + claim_after(age, feeds)).await;
             *lease = claim(control).await?;
             Ok(())
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -110,7 +110,7 @@
         let (items, revision) = self.control.store().list(EVERYTHING).await?;
         let update = Update {
             revision,
-            whole: true,
+            is_snapshot: true,
             changes: items.into_iter().map(Change::Written).collect(),
         };
         self.take(&Source::Store, &update, asked);
@@ -128,7 +128,7 @@
         };
         let update = Update {
             revision: next,
-            whole: false,
+            is_snapshot: false,
             changes: events,
         };
         Ok(self.take(&Source::Store, &update, asked))
@@ -162,7 +162,7 @@
             return false;
         }
         let restored = before != 0 && era::of(before) < era::of(update.revision);
-        match (restored, update.whole) {
+        match (restored, update.is_snapshot) {
             (true, _) => control.restore(update),
             (false, true) => control.replace(&update.changes),
             (false, false) => control.apply(&update.changes),
@@ -176,7 +176,7 @@
             .control
             .config_within
             .mul_f64(WAIT_PART)
-            .min(feed::WAIT);
+            .min(feed::POLL_TIMEOUT);
         match self.control.registry.borrow().next_expiry() {
             Some(expiry) => wait.min(clock::now().until(expiry).max(SHORTEST_WAIT)),
             None => wait,
@@ -186,7 +186,7 @@
     async fn heard(&mut self, source: &Source, changed: bool) {
         let control = &self.control;
         self.backoff.reset();
-        self.failures.forget(source);
+        self.failures.clear(source);
         if !control.followed_lately.replace(true) {
             journal::dependency("store", "followed", "");
             control.registry.borrow_mut().forgive(clock::now());
@@ -208,7 +208,7 @@
 
     async fn missed(&mut self, source: &Source, error: &Error) {
         let control = &self.control;
-        self.failures.note(source, clock::now());
+        self.failures.record(source, clock::now());
         if *source == Source::Store {
             control.metrics.store_error();
             if let Err(error) = control.store.borrow_mut().reconnect() {
@@ -223,7 +223,7 @@
         let next = self.choose();
         if self
             .failures
-            .rests(&next, &control.place.borrow(), clock::now())
+            .is_backing_off(&next, &control.place.borrow(), clock::now())
         {
             if control.followed_lately.replace(false) {
                 journal::dependency("store", "lost", &error.to_string());
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -13,7 +13,7 @@
     catalog::{Catalog, Service},
     duty::Duty,
     era,
-    feed::Place,
+    feed::Subscription,
     members::Members,
     mirror::Update,
     ownership::{self, Allocation, Change, Limits, Peer, Query},
@@ -78,7 +78,7 @@
     /// Whether the last source of changes answered.
     pub followed_lately: Cell<bool>,
     /// From whom changes of the store are heard.
-    pub place: RefCell<Place>,
+    pub place: RefCell<Subscription>,
     /// What the store holds, as far as it was heard.
     pub mirror: Handle,
     /// Up to when no change of the store was missed, in milliseconds, as traffic sees it.
@@ -208,7 +208,7 @@
             Subject::Own(key) => match entry::name(key) {
                 Some(name) => {
                     let peer = self.read_peer(name, &item.value);
-                    self.members.borrow_mut().present(name, peer);
+                    self.members.borrow_mut().mark_present(name, peer);
                 }
                 None => self.note_record(item, now),
             },
@@ -225,7 +225,7 @@
             Subject::Own(key) if key == DUTY => self.duty.borrow_mut().seen(None),
             Subject::Own(key) => {
                 if let Some(name) = entry::name(key) {
-                    self.members.borrow_mut().missing(name, now);
+                    self.members.borrow_mut().mark_missing(name, now);
                 }
             }
             Subject::Config | Subject::Other => {}
@@ -345,7 +345,8 @@
         let (count, peers) = (members.count(now), members.peers(now));
         let before = self.publish.borrow().clone();
         if before.peers != peers {
-            self.place.replace(Place::new(&peers, &self.id, &self.dc));
+            self.place
+                .replace(Subscription::new(&peers, &self.id, &self.dc));
         }
         let mut view = View {
             catalog,
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -7,7 +7,7 @@
     sync::Arc,
 };
 
-use dandelionpitch_engine::{feed::Place, registry::Registry, time::Moment};
+use dandelionpitch_engine::{feed::Subscription, registry::Registry, time::Moment};
 use dandelionpitch_platform::{promoter::Promoter, store::Store};
 use tokio::{
     sync::{mpsc, oneshot, watch},
@@ -66,7 +66,7 @@
     let start = move || {
         let mut registry = Registry::default();
         registry.known_until(Moment::default());
-        let place = RefCell::new(Place::new(&[], &id, &dc));
+        let place = RefCell::new(Subscription::new(&[], &id, &dc));
         let control = Rc::new(Control {
             name: format!("{id}@{}", started.millis()),
             started,
--- a/crates/proxy/src/line/mirror.rs
+++ b/crates/proxy/src/line/mirror.rs
@@ -11,7 +11,7 @@
 use dandelionpitch_engine::{
     delta::Delta,
     era,
-    feed::{Source, FRESH_ENOUGH},
+    feed::{Source, MAX_RELAY_AGE},
     mirror::{Mirror, Update},
     time::Moment,
 };
@@ -86,7 +86,7 @@
         let mut content = self.lock();
         let before = content.mirror.revision();
         content.keep_earlier(update);
-        let taken = content.mirror.take(update);
+        let taken = content.mirror.apply(update);
         content.known_until = content.known_until.max(known);
         content.source = Some(source.clone());
         let changed = content.mirror.revision() != before;
@@ -150,13 +150,13 @@
     fn now(&self, after: u64, waited: Duration, left: Duration) -> Option<Option<Answer>> {
         let content = self.lock();
         let age = clock::now().since(content.known_until);
-        if content.source.is_none() || age > FRESH_ENOUGH {
+        if content.source.is_none() || age > MAX_RELAY_AGE {
             return None;
         }
         if content.mirror.revision() <= after && !left.is_zero() {
             return Some(None);
         }
-        let update = content.mirror.after(after);
+        let update = content.mirror.since(after);
         Some(Some(Answer {
             update,
             waited,
@@ -175,7 +175,7 @@
         let (of, old) = earlier.versions.iter().rfind(|(at, _)| *at <= reached)?;
         let (to, value) = mirror.get(key)?;
         match &earlier.told {
-            Some((made, told)) if *made == to && told.of == *of => Some(told.clone()),
+            Some((made, told)) if *made == to && told.base_revision == *of => Some(told.clone()),
             _ => {
                 let delta = Arc::new(Delta::new(*of, old, value));
                 earlier.told = Some((to, delta.clone()));
