--- a/crates/engine/src/placement.rs
+++ b/crates/engine/src/placement.rs
@@ -1,66 +1,67 @@
-//! Which server a read goes to.
+//! Load balancing of reads over the servers of a database group.
 //!
-//! Load pattern: reads outnumber writes by far, servers have a handful of slots each and one of
-//! them may turn slow. So the expected wait decides, from this proxy's own work in progress there
-//! and the time that work has lately taken; the primary is chosen only when replicas are clearly
-//! worse, since writes have nowhere else to go.
+//! Servers are ordered by expected latency, estimated from this proxy's in-flight statements and
+//! recent latencies there. The primary is chosen only if all replicas are clearly slower, as it is
+//! the only server that accepts writes.
 
 use std::time::Duration;
 
-/// What is known of one server that may serve a read.
+/// A server that may serve a read.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Statements of this proxy running or waiting there.
+    /// In-flight and queued statements of this proxy.
     pub pending: usize,
-    /// How many connections this proxy may use there.
+    /// The limit on this proxy's connections.
     pub connections: usize,
-    /// How long a statement has lately taken there.
+    /// Mean latency of recent statements.
     pub latency: Duration,
-    /// It leads the group.
+    /// Whether it is the group's primary.
     pub primary: bool,
-    /// It is in another data centre.
+    /// Whether it is in another data centre.
     pub remote: bool,
 }
 
-/// A primary must promise to be this much faster than a replica to get a read.
-const PRIMARY_PENALTY: f64 = 2.0;
+/// A primary gets a read only if its expected latency is lower than a replica's by this factor.
+const PRIMARY_COST_FACTOR: f64 = 2.0;
 
-/// A round trip between data centres costs bytes that are priced, and about 2 ms.
-const REMOTE_PENALTY: Duration = Duration::from_millis(2);
+/// Added for a server in another data centre: the round trip, for which traffic is also billed.
+const REMOTE_COST: Duration = Duration::from_millis(2);
 
-/// The cost of putting one more read on the server, in seconds of expected wait; on a primary it
-/// takes at least `usual`.
-fn cost(candidate: &Candidate, usual: Duration) -> f64 {
+/// The cost of sending one more read to the server, in seconds of expected latency. A primary's
+/// latency counts as at least `min_latency`.
+fn cost(candidate: &Candidate, min_latency: Duration) -> f64 {
     let latency = match candidate.primary {
-        true => candidate.latency.max(usual),
+        true => candidate.latency.max(min_latency),
         false => candidate.latency,
     };
     let latency = latency.as_secs_f64().max(0.001);
     let queued = candidate.pending as f64 / candidate.connections.max(1) as f64;
     let wait = latency * (1.0 + queued);
     let remote = match candidate.remote {
-        true => REMOTE_PENALTY.as_secs_f64(),
+        true => REMOTE_COST.as_secs_f64(),
         false => 0.0,
     };
     match candidate.primary {
-        true => wait * PRIMARY_PENALTY + remote,
+        true => wait * PRIMARY_COST_FACTOR + remote,
         false => wait + remote,
     }
 }
 
-/// The candidates in the order to try them; `turn` breaks ties so that equal servers share.
+/// Returns the indexes of the candidates in the order to try them. Ties are broken by `rotation`, which
+/// the caller increments so that equal servers share the load.
 ///
-/// What a statement lately took on the primary says little of a read there: writes are short. So the
-/// time is not taken to be less than at the quickest replica.
-pub fn order(candidates: &[Candidate], turn: usize) -> Vec<usize> {
+/// A primary's latency is dominated by short writes and says little about reads, so it is taken as no
+/// lower than that of the fastest replica.
+pub fn order(candidates: &[Candidate], rotation: usize) -> Vec<usize> {
     let count = candidates.len().max(1);
     let replicas = candidates.iter().filter(|candidate| !candidate.primary);
-    let usual = replicas.map(|replica| replica.latency).min();
-    let usual = usual.unwrap_or_default();
+    let min_latency = replicas.map(|replica| replica.latency).min();
+    let min_latency = min_latency.unwrap_or_default();
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by(|&a, &b| {
-        let by_cost = cost(&candidates[a], usual).total_cmp(&cost(&candidates[b], usual));
-        by_cost.then_with(|| ((a + turn) % count).cmp(&((b + turn) % count)))
+        let by_cost =
+            cost(&candidates[a], min_latency).total_cmp(&cost(&candidates[b], min_latency));
+        by_cost.then_with(|| ((a + rotation) % count).cmp(&((b + rotation) % count)))
     });
     order
 }
--- a/crates/engine/src/refusal.rs
+++ b/crates/engine/src/refusal.rs
@@ -1,40 +1,40 @@
-//! Why a statement has no result, and what that promises its caller.
+//! Refusals: why a statement has no result, and whether it may have taken effect.
 
 use derive_more::{Display, Error};
 
-/// The kind of a refusal. Each dialect has its own words for these.
+/// The kind of a refusal. Each protocol has its own error codes for these.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Code {
-    /// No capacity; nothing was run.
+    /// No capacity; the statement was not run.
     Busy,
-    /// The transaction is rolled back; nothing of it is kept.
+    /// The transaction was rolled back.
     Aborted,
-    /// The server's log lacks what the read must see; nothing was run.
+    /// The server's log is behind the position that the read requires; the statement was not run.
     Lagging,
-    /// The server does not lead; nothing was run.
+    /// The server is not the primary; the statement was not run.
     ReadOnly,
-    /// Another server answers at this address; nothing was run.
+    /// A different server now listens on this address; the statement was not run.
     Moved,
-    /// The server takes no more connections; nothing was run.
+    /// The server's connection limit is reached; the statement was not run.
     TooManyConnections,
-    /// It may have run and may be kept.
+    /// The outcome is unknown: the statement may have run and may be committed.
     Unknown,
-    /// It ran over its time; it may be kept.
+    /// The statement timed out; it may be committed.
     Timeout,
-    /// The server ran it and failed.
+    /// The server ran the statement, which failed.
     Failed,
-    /// No such database for callers.
+    /// No route exists for the database name.
     NoDatabase,
-    /// No such prepared statement; nothing was run.
+    /// No such prepared statement; the statement was not run.
     NoStatement,
-    /// Not understood, or not allowed in this state.
+    /// The statement is malformed, or not allowed in the session's state.
     Syntax,
-    /// A server's code that is not in the protocol; nothing is concluded from it.
+    /// A code from a server that is not in the protocol; the outcome is treated as unknown.
     Other,
 }
 
 impl Code {
-    /// Whether the caller is told that nothing of its attempt is kept, so it may repeat it.
+    /// Whether the attempt is guaranteed to have had no lasting effect, so the caller may retry it.
     pub fn guarantees_not_applied(self) -> bool {
         matches!(
             self,
@@ -47,7 +47,7 @@
         )
     }
 
-    /// Whether a server that answers with it did not run the statement.
+    /// Whether a server that answers with this code is guaranteed not to have run the statement.
     pub fn guarantees_not_run(self) -> bool {
         matches!(
             self,
@@ -61,7 +61,7 @@
     }
 }
 
-/// A refusal with the words that explain it.
+/// A refusal with its explanation.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{code}: {reason}")]
 pub struct Refusal {
@@ -70,7 +70,7 @@
 }
 
 impl Refusal {
-    /// A refusal of `code` because of `reason`.
+    /// Creates a refusal.
     pub fn new(code: Code, reason: impl Into<String>) -> Self {
         Self {
             code,
