--- a/crates/engine/src/forwarding.rs
+++ b/crates/engine/src/forwarding.rs
@@ -1,4 +1,5 @@
-//! What one proxy tells another with a statement that it hands over, and when it offers it to the next.
+//! Forwarding of statements to other proxies: what is sent with a statement, and when the next proxy is
+//! tried.
 
 use std::time::Duration;
 
@@ -10,24 +11,24 @@
     refusal::Code,
 };
 
-/// What the statement's caller may expect. It travels with each statement, so the proxy that runs it
-/// goes by the configuration of the one that took it, which may be a newer one.
+/// The requirements of a forwarded statement. They are sent with each statement, so that the receiving
+/// proxy applies the configuration of the forwarding one, which may be newer than its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Requirements {
     pub service: String,
-    /// 0 is the most important.
+    /// 0 is the highest priority.
     pub priority: u32,
-    /// What is left of the time for the statement.
+    /// The remaining part of the route's timeout.
     pub timeout: Duration,
-    /// What is left of the time within which it should be answered.
+    /// The remaining part of the route's target.
     pub target: Duration,
     pub consistency: Consistency,
-    /// The session's last commit.
+    /// The position of the session's last acknowledged commit, which a read must see.
     pub floor: Option<Position>,
 }
 
 impl Requirements {
-    /// The terms of a statement that came `waited` ago on `route`.
+    /// The requirements of a statement that arrived `waited` ago on `route`.
     pub fn new(route: &Route, waited: Duration, floor: Option<Position>) -> Self {
         Self {
             service: route.service.clone(),
@@ -40,23 +41,22 @@
     }
 }
 
-/// How many proxies a statement is offered to: its owners of two data centres.
-const OFFERS: usize = 2;
+/// Allows for one owner of the group in each of two data centres.
+const MAX_ATTEMPTS: usize = 2;
 
-/// Whether a statement that came `waited` ago and that a proxy refused with `code` is offered to the
-/// next one, as the `offers`-th has just answered.
+/// Whether a statement that arrived `waited` ago is forwarded to the next proxy after `attempts` proxies
+/// have refused it, the last one with `code`.
 ///
-/// Load pattern: one owner of a group is cut off from its servers, or its queue is full while
-/// another's is not. A refusal that says "not run" may be tried elsewhere, as long as the caller
-/// would not fare better by coming back itself.
-pub fn may_retry(code: Code, offers: usize, waited: Duration, target: Duration) -> bool {
-    code.guarantees_not_run() && offers < OFFERS && admission::may_search(waited, target)
+/// Another owner may have a shorter queue, or still reach the servers during a network partition. A
+/// statement is retried only if it was not run and enough of its target is left.
+pub fn may_retry(code: Code, attempts: usize, waited: Duration, target: Duration) -> bool {
+    code.guarantees_not_run() && attempts < MAX_ATTEMPTS && admission::may_search(waited, target)
 }
 
 impl From<Requirements> for Route {
     fn from(requirements: Requirements) -> Self {
         Self {
-            name: HANDED.to_owned(),
+            name: FORWARDED_ROUTE.to_owned(),
             service: requirements.service,
             consistency: requirements.consistency,
             timeout: requirements.timeout,
@@ -66,5 +66,5 @@
     }
 }
 
-/// The name under which statements of other proxies stand in logs.
-const HANDED: &str = "handed over";
+/// The route name in logs for statements received from other proxies.
+const FORWARDED_ROUTE: &str = "handed over";
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -1,4 +1,4 @@
-//! The proxies that are there, as their entries in the store say.
+//! The live proxies, according to their entries in the store.
 
 use std::time::Duration;
 
@@ -6,17 +6,16 @@
 
 use crate::{ownership::Peer, registry::RETURN_LIMIT, time::Moment};
 
-/// How long a proxy that was seen still counts: its lease may have lapsed because it is cut off from
-/// the store while it holds its connections to the servers.
+/// How long a proxy whose entry expired still counts for the division of connections.
 ///
-/// Failure: two of seven proxies lose the store, the others share out their connections, and the
-/// server refuses new ones to all. Guard: shares grow only after a cut-off VM is likely to
-/// be back or gone.
-const REMEMBERED: Duration = Duration::from_secs(20);
+/// A proxy that loses the store keeps its connections to the servers. If the others claimed its share
+/// at once, the servers would reach their connection limits. The time is long enough for a partitioned
+/// VM to return or terminate.
+const COUNT_RETENTION: Duration = Duration::from_secs(20);
 
-/// How long a proxy whose entry is gone is still asked to run statements: entries that lapse while the
-/// store is away are back within this time.
-const ASKED_AFTER: Duration = RETURN_LIMIT;
+/// How long statements are still forwarded to a proxy whose entry expired. Entries that expire during an
+/// outage of the store are restored within this time.
+const FORWARDING_RETENTION: Duration = RETURN_LIMIT;
 
 /// The proxies that share the servers' connections.
 #[derive(Clone, Debug, Default)]
@@ -26,52 +25,63 @@
 
 #[derive(Clone, Debug, Default)]
 struct Member {
-    /// How other proxies reach it, if it says so.
+    /// Where other proxies reach it, if its entry has an address.
     peer: Option<Peer>,
-    /// When it went missing.
-    missing: Option<Moment>,
+    /// When its entry was found missing; `None` while it is present.
+    missing_since: Option<Moment>,
 }
 
 impl Members {
-    /// Notes a proxy that is there.
+    /// Records that a proxy has an entry.
     pub fn mark_present(&mut self, name: &str, peer: Option<Peer>) {
-        let missing = None;
-        self.seen.insert(name.to_owned(), Member { peer, missing });
+        let missing_since = None;
+        self.seen.insert(
+            name.to_owned(),
+            Member {
+                peer,
+                missing_since,
+            },
+        );
     }
 
-    /// Notes a proxy that is not there any more.
+    /// Records that a proxy's entry was removed.
     pub fn mark_missing(&mut self, name: &str, now: Moment) {
         if let Some(member) = self.seen.get_mut(name) {
-            member.missing.get_or_insert(now);
+            member.missing_since.get_or_insert(now);
         }
     }
 
-    /// Takes a complete list.
+    /// Replaces the list: proxies that are not in `present` are marked as missing.
     pub fn replace(&mut self, present: impl Iterator<Item = (String, Option<Peer>)>, now: Moment) {
         for member in self.seen.values_mut() {
-            member.missing.get_or_insert(now);
+            member.missing_since.get_or_insert(now);
         }
         present.for_each(|(name, peer)| self.mark_present(&name, peer));
     }
 
-    /// How many share the connections; at least one.
+    /// The number of proxies that share the connections; at least one.
     pub fn count(&mut self, now: Moment) -> usize {
-        self.seen.retain(|_, member| member.lasts(REMEMBERED, now));
+        self.seen
+            .retain(|_, member| member.is_retained(COUNT_RETENTION, now));
         self.seen.len().max(1)
     }
 
-    /// Those that other proxies can hand statements to, in a fixed order.
+    /// The proxies to which statements can be forwarded, sorted by id.
     pub fn peers(&self, now: Moment) -> Vec<Peer> {
-        let lasting = self.seen.values().filter(|m| m.lasts(ASKED_AFTER, now));
-        let mut peers: Vec<Peer> = lasting.filter_map(|m| m.peer.clone()).collect();
+        let retained = self
+            .seen
+            .values()
+            .filter(|m| m.is_retained(FORWARDING_RETENTION, now));
+        let mut peers: Vec<Peer> = retained.filter_map(|m| m.peer.clone()).collect();
         peers.sort_by(|a, b| a.id.cmp(&b.id));
         peers
     }
 }
 
 impl Member {
-    /// Whether it is there, or has been missing for less than `limit`.
-    fn lasts(&self, limit: Duration, now: Moment) -> bool {
-        self.missing.is_none_or(|since| now.since(since) < limit)
+    /// Whether it is present, or has been missing for less than `limit`.
+    fn is_retained(&self, limit: Duration, now: Moment) -> bool {
+        self.missing_since
+            .is_none_or(|since| now.since(since) < limit)
     }
 }
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -1,8 +1,8 @@
-//! What one caller's session is in the middle of, and what each of its statements comes to.
+//! The state machine of a caller's session.
 //!
-//! The session answers what needs no backend server itself (`SET`, `PREPARE`, `BEGIN`, `ROLLBACK`)
-//! and says of the rest whether it reads, writes or ends a transaction. A transaction takes a
-//! backend connection with its first statement, so callers that pause after `BEGIN` hold none.
+//! Statements that need no backend server (`SET`, `PREPARE`, `BEGIN`, `ROLLBACK`) are handled here; the
+//! others are classified as reads, writes or commits. A transaction is assigned a backend connection
+//! by its first statement, not by `BEGIN`, so callers that pause in between hold none.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,14 +14,13 @@
     time::Moment,
 };
 
-/// The most named statements and values one session may keep, so that a caller cannot fill the
-/// memory; drivers use a handful.
-const MOST_NAMES: usize = 1_000;
+/// The maximum number of prepared statements, and of variables, of one session. Bounds its memory.
+const MAX_NAMES: usize = 1_000;
 
-/// The values a session has set, by name.
+/// Session variables by name.
 pub type Variables = Arc<BTreeMap<String, String>>;
 
-/// Where a session stands.
+/// The transaction state of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     /// No transaction is open.
@@ -29,9 +28,9 @@
     Idle,
     /// A transaction is open.
     Open(Transaction),
-    /// The transaction was rolled back while the caller rested, and the caller was not told yet.
+    /// The transaction exceeded its idle timeout and was rolled back; the caller has not been told yet.
     TimedOut,
-    /// The transaction has failed and is rolled back; only its end is accepted.
+    /// The transaction failed and was rolled back; only `COMMIT` and `ROLLBACK` are accepted.
     Failed,
 }
 
@@ -39,9 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transaction {
     pub read_only: bool,
-    /// When the caller opened it: its reads must see what was acknowledged before.
+    /// When the caller opened it. Its reads must see all commits acknowledged before.
     pub started_at: Moment,
-    /// Whether it may have written on its connection.
+    /// Whether a write was sent on its connection.
     pub wrote: bool,
 }
 
@@ -53,30 +52,30 @@
     Commit,
 }
 
-/// A named statement to run under a name of the connection's own.
+/// The execution of a prepared statement. It is prepared on the backend connection under another name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Execution {
     pub definition: Definition,
     pub arguments: String,
 }
 
-/// What a statement comes to.
+/// What the proxy has to do for a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It is done; the caller is told so.
+    /// Report success; nothing else is to be done.
     Done,
-    /// The transaction is over; its connection, if it has one, is to be rolled back.
+    /// Roll back the transaction's connection, if it has one, and report success.
     Rollback,
-    /// It is refused.
+    /// Refuse the statement.
     Refuse(Refusal),
-    /// A backend server runs it; `named` if it is the run of a named statement.
+    /// Run the statement on a backend server; `named` is set for an `EXECUTE`.
     Run {
         effect: Effect,
         named: Option<Execution>,
     },
 }
 
-/// The state of one session.
+/// A caller's session.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     phase: Phase,
@@ -87,47 +86,47 @@
 }
 
 impl Session {
-    /// Where the session stands.
+    /// The transaction state.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The values its statements run under.
+    /// The variables that must be set on the connection on which its statements run.
     pub fn variables(&self) -> &Variables {
         &self.variables
     }
 
-    /// What its reads must see of its own commits.
+    /// The position of the session's last acknowledged commit, which its reads must see.
     pub fn floor(&self) -> Option<Position> {
         self.floor
     }
 
-    /// Goes on for another session, whose last commit is at `floor`: proxies hand statements of
-    /// many sessions over on one connection.
+    /// Replaces the position that reads must see. Used on connections between proxies, which carry the
+    /// statements of many sessions.
     pub fn set_floor(&mut self, floor: Option<Position>) {
         self.floor = floor;
     }
 
-    /// Forgets the session's commits: it reads from another group now, whose log has nothing to
-    /// do with them.
+    /// Clears the position that reads must see, as the session now reads from another group, whose log
+    /// positions are unrelated.
     pub fn clear_floor(&mut self) {
         self.floor = None;
     }
 
-    /// Decides what a statement that arrived at `now` comes to.
+    /// Processes a statement that arrived at `now`.
     pub fn step(&mut self, statement: &Statement<'_>, now: Moment) -> Step {
         match (self.phase, statement) {
             (Phase::TimedOut | Phase::Failed, Statement::Rollback) => self.end(Step::Done),
             (Phase::TimedOut | Phase::Failed, Statement::Commit) => {
-                let why = "the transaction had failed and is rolled back";
+                let why = "the transaction failed and was rolled back";
                 self.end(Step::Refuse(Refusal::new(Code::Aborted, why)))
             }
             (Phase::TimedOut, _) => {
                 self.phase = Phase::Failed;
-                let why = "the transaction rested too long and is rolled back";
+                let why = "the transaction exceeded its idle timeout and was rolled back";
                 Step::Refuse(Refusal::new(Code::Aborted, why))
             }
-            (Phase::Failed, _) => syntax("the transaction has failed; end it first"),
+            (Phase::Failed, _) => syntax("the transaction has failed; roll it back first"),
             (Phase::Idle, Statement::Commit | Statement::Rollback) => {
                 syntax("no transaction is open")
             }
@@ -161,33 +160,33 @@
         }
     }
 
-    /// Notes that a statement of an open transaction failed: the transaction is rolled back.
+    /// Records that a statement failed, by which the open transaction, if any, is rolled back.
     pub fn failed(&mut self) {
         if matches!(self.phase, Phase::Open(_)) {
             self.phase = Phase::Failed;
         }
     }
 
-    /// Notes that the open transaction has rested too long and is rolled back.
+    /// Records that the open transaction exceeded its idle timeout and was rolled back.
     pub fn timed_out(&mut self) {
         if matches!(self.phase, Phase::Open(_)) {
             self.phase = Phase::TimedOut;
         }
     }
 
-    /// Notes that a write of an open transaction was sent to a server.
+    /// Records that a write of the open transaction was sent to a server.
     pub fn sent_write(&mut self) {
         if let Phase::Open(transaction) = &mut self.phase {
             transaction.wrote = true;
         }
     }
 
-    /// Notes that the open transaction is over.
+    /// Records that the open transaction ended.
     pub fn ended(&mut self) {
         self.phase = Phase::Idle;
     }
 
-    /// Notes an acknowledged commit at `position`.
+    /// Records an acknowledged commit at `position`.
     pub fn committed(&mut self, position: Option<Position>) {
         self.floor = self.floor.max(position);
     }
@@ -206,24 +205,21 @@
         match self.phase {
             Phase::Open(Transaction {
                 read_only: true, ..
-            }) => self.fail(Refusal::new(
-                Code::Syntax,
-                "the transaction was opened for reading only",
-            )),
+            }) => self.fail(Refusal::new(Code::Syntax, "the transaction is read-only")),
             _ => run(Effect::Write, named),
         }
     }
 
     fn set(&mut self, name: &str, value: &str) -> Step {
-        if self.variables.len() >= MOST_NAMES && !self.variables.contains_key(name) {
-            return self.fail(Refusal::new(Code::Syntax, "too many session values"));
+        if self.variables.len() >= MAX_NAMES && !self.variables.contains_key(name) {
+            return self.fail(Refusal::new(Code::Syntax, "too many session variables"));
         }
         Arc::make_mut(&mut self.variables).insert(name.to_owned(), value.to_owned());
         Step::Done
     }
 
     fn prepare(&mut self, name: &str, definition: &Definition) -> Step {
-        if self.prepared.len() >= MOST_NAMES && !self.prepared.contains_key(name) {
+        if self.prepared.len() >= MAX_NAMES && !self.prepared.contains_key(name) {
             return self.fail(Refusal::new(Code::Syntax, "too many prepared statements"));
         }
         self.prepared.insert(name.to_owned(), definition.clone());
@@ -246,7 +242,7 @@
     }
 
     fn unknown_name(&mut self, name: &str) -> Step {
-        let why = format!("no statement is prepared as {name}");
+        let why = format!("prepared statement {name} does not exist");
         self.fail(Refusal::new(Code::NoStatement, why))
     }
 }
--- a/crates/engine/src/statement.rs
+++ b/crates/engine/src/statement.rs
@@ -1,38 +1,38 @@
-//! What a caller asks for, decoded from its dialect.
+//! A caller's statement, independent of the protocol in which it arrived.
 
-/// What a prepared statement does, and the rest of its definition as the backend takes it.
+/// The definition of a prepared statement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Definition {
-    /// Whether running it changes data.
+    /// Whether executing it changes data.
     pub writes: bool,
-    /// The definition in the backend's words.
+    /// The definition as sent to the backend server.
     pub text: String,
 }
 
-/// One statement of a caller; the text it came as is kept beside it and passed on unchanged.
+/// A classified statement. Its original text is kept separately and sent to the server unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement<'a> {
     /// Opens a transaction; a read-only one may run on a replica.
     Begin { read_only: bool },
-    /// Ends a transaction and keeps its writes.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction and drops its writes.
+    /// Rolls back a transaction.
     Rollback,
     /// Reads data.
     Read,
     /// Changes data.
     Write,
-    /// Sets a session value.
+    /// Sets a session variable.
     Set { name: &'a str, value: &'a str },
-    /// Names a statement for the rest of the session.
+    /// Prepares a statement under a name for the rest of the session.
     Prepare {
         name: &'a str,
         definition: Definition,
     },
-    /// Runs a named statement.
+    /// Executes a prepared statement.
     Execute { name: &'a str, arguments: &'a str },
-    /// Forgets a named statement.
+    /// Removes a prepared statement.
     Deallocate { name: &'a str },
-    /// Forgets all session values and named statements; only proxies send it to each other.
+    /// Removes all session variables and prepared statements. Sent only between proxies.
     Reset,
 }
