--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -20,7 +20,7 @@
 
 /// Whether an arriving statement is queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Queue the statement; it is expected to wait for `expected`.
     Wait { expected: Duration },
     /// Refuse the statement; the caller may retry after `retry_after`.
@@ -34,12 +34,12 @@
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Decides whether a statement that should be answered within `left` is queued.
-pub fn decide(queue: Queue, left: Duration) -> Verdict {
+pub fn decide(queue: Queue, left: Duration) -> Decision {
     let ahead = (queue.waiting + 1) as f64 / queue.connections.max(1) as f64;
     let expected = queue.hold.mul_f64(ahead);
     match expected <= left.mul_f64(MAX_WAIT_FRACTION) {
-        true => Verdict::Wait { expected },
-        false => Verdict::Refuse {
+        true => Decision::Wait { expected },
+        false => Decision::Refuse {
             retry_after: (expected / 2).max(MIN_RETRY_AFTER),
         },
     }
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dandelionpitch_engine::{
-    admission::{self, Mean, Obstacle, Queue, Queued, Selection, Verdict},
+    admission::{self, Decision, Mean, Obstacle, Queue, Queued, Selection},
     members::Members,
     placement::{self, Candidate},
     share,
@@ -46,12 +46,12 @@
             hold,
         };
         match admission::decide(queue, target) {
-            Verdict::Wait { .. } => {
+            Decision::Wait { .. } => {
                 waiting += 1;
                 let turns = waiting.div_ceil(connections) as u32;
                 slowest = slowest.max(hold * (turns + 1));
             }
-            Verdict::Refuse { retry_after } => {
+            Decision::Refuse { retry_after } => {
                 refused += 1;
                 assert!(retry_after >= millis(50));
             }
@@ -86,9 +86,9 @@
         hold: millis(30),
     };
 
-    let verdict = admission::decide(queue, Duration::ZERO);
+    let decision = admission::decide(queue, Duration::ZERO);
 
-    assert!(matches!(verdict, Verdict::Refuse { .. }));
+    assert!(matches!(decision, Decision::Refuse { .. }));
 }
 
 /// One of two replicas turns five times slower: within ten statements the reads go to the other.
@@ -237,7 +237,7 @@
                 connections,
                 hold: millis(hold),
             };
-            if matches!(admission::decide(queue, millis(400)), Verdict::Wait { .. }) {
+            if matches!(admission::decide(queue, millis(400)), Decision::Wait { .. }) {
                 waiting.insert(place, (priority, queued(now + 400, now + 1_000)));
             }
         }
--- a/crates/proxy/src/line/backend/pool/waiting.rs
+++ b/crates/proxy/src/line/backend/pool/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use dandelionpitch_engine::admission::{self, Queue, Queued, Selection, Verdict};
+use dandelionpitch_engine::admission::{self, Decision, Queue, Queued, Selection};
 use tokio::sync::oneshot;
 
 use super::{loan::Place, Grant, Miss, Pool, Waiter, Wish};
@@ -27,7 +27,7 @@
                 connections: state.open,
                 hold: self.hold.get().value(),
             };
-            if let Verdict::Refuse { retry_after } =
+            if let Decision::Refuse { retry_after } =
                 admission::decide(queue, now.until(rank.due).min(left))
             {
                 return Err(Miss::Refused { retry_after });
