--- a/crates/engine/src/delta.rs
+++ b/crates/engine/src/delta.rs
@@ -1,15 +1,15 @@
-//! A value told by what of it is new.
+//! Delta encoding of values.
 //!
-//! Load pattern: a configuration of hundreds of kilobytes changes in one place, and a proxy that tells dozens
-//! of others of it fills its link for seconds; they give up, ask others for all of it, and fill those
-//! links as well. What is new of it is a few hundred bytes, however long it is.
+//! A small change to a configuration of hundreds of kilobytes is relayed to dozens of followers. Sent in
+//! full, it would saturate the relay's network link until the followers time out and request it
+//! elsewhere; a delta has the size of the change.
 
 use dandelionpitch_core::hash::{self, Map};
 
-/// A part of a value.
+/// A piece of the new value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// A part of the value before.
+    /// A range of bytes of the base value.
     Copy {
         from: usize,
         length: usize,
@@ -17,21 +17,21 @@
     Literal(Vec<u8>),
 }
 
-/// Values are compared by the parts that end here: the end of an object in JSON.
-const END: u8 = b'}';
+/// Values are split into chunks after this byte, which ends a JSON object.
+const BOUNDARY: u8 = b'}';
 
-/// What makes one value of an earlier one of the same key.
+/// The difference between two values of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta {
-    /// The revision of the earlier one.
+    /// The revision of the value to which the delta applies.
     pub base_revision: u64,
-    /// Tells whether the result is the value that was meant.
+    /// The checksum of the resulting value.
     pub checksum: u64,
     pub pieces: Vec<Piece>,
 }
 
 impl Delta {
-    /// What makes `new` of `old`, which was written at the revision `of`.
+    /// The delta from `old`, which was written at `base_revision`, to `new`.
     pub fn new(base_revision: u64, old: &[u8], new: &[u8]) -> Self {
         Self {
             base_revision,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The value meant; `None` if `old`, which was written at the revision `at`, is another one than it
-    /// was made of.
+    /// Applies the delta to `old`, which was written at revision `at`. Returns `None` if that is not the
+    /// delta's base, or if the checksum does not match.
     pub fn apply(&self, at: u64, old: &[u8]) -> Option<Vec<u8>> {
         let value = apply(old, &self.pieces).filter(|_| at == self.base_revision)?;
         (hash::salt(&value.as_slice()) == self.checksum).then_some(value)
@@ -51,31 +51,31 @@
 fn diff(old: &[u8], new: &[u8]) -> Vec<Piece> {
     let mut known: Map<&[u8], usize> = Map::default();
     let mut offset = 0;
-    for part in parts(old) {
-        known.entry(part).or_insert(offset);
-        offset += part.len();
+    for chunk in chunks(old) {
+        known.entry(chunk).or_insert(offset);
+        offset += chunk.len();
     }
     let mut pieces = Vec::new();
-    for part in parts(new) {
-        match (known.get(part), pieces.last_mut()) {
+    for chunk in chunks(new) {
+        match (known.get(chunk), pieces.last_mut()) {
             (Some(_), Some(Piece::Copy { from, length }))
-                if old[*from + *length..].starts_with(part) =>
+                if old[*from + *length..].starts_with(chunk) =>
             {
-                *length += part.len();
+                *length += chunk.len();
             }
             (Some(&from), _) => pieces.push(Piece::Copy {
                 from,
-                length: part.len(),
+                length: chunk.len(),
             }),
-            (None, Some(Piece::Literal(bytes))) => bytes.extend_from_slice(part),
-            (None, _) => pieces.push(Piece::Literal(part.to_vec())),
+            (None, Some(Piece::Literal(bytes))) => bytes.extend_from_slice(chunk),
+            (None, _) => pieces.push(Piece::Literal(chunk.to_vec())),
         }
     }
     pieces
 }
 
-fn parts(value: &[u8]) -> impl Iterator<Item = &[u8]> {
-    value.split_inclusive(|&byte| byte == END)
+fn chunks(value: &[u8]) -> impl Iterator<Item = &[u8]> {
+    value.split_inclusive(|&byte| byte == BOUNDARY)
 }
 
 fn apply(old: &[u8], pieces: &[Piece]) -> Option<Vec<u8>> {
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -1,10 +1,10 @@
-//! From whom a proxy hears what changed in the store, and how old what it heard may be.
+//! Relaying of store changes between proxies: which source a proxy follows, and how stale a source may
+//! be.
 //!
-//! Load pattern: hundreds of proxies that watch the store pay for each change once each, and those that
-//! the store turns away go by an old list. So a few proxies of each data centre watch
-//! it, the feeders, and the others hear from them, or from those of other data centres, before
-//! they ask the store themselves (`docs/DESIGN.md`, "Changes of the store"). What only the store may
-//! decide, such as claims, conditions and leases, stays a call to the store.
+//! The store cannot serve a watch to each of hundreds of proxies. A few proxies of each data centre, the
+//! relays, watch it; the others follow a relay, preferably of their own data centre, and watch the store
+//! only if no relay answers (`docs/DESIGN.md`, "Changes of the store"). Writes, conditional updates and
+//! leases always go to the store.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -12,65 +12,65 @@
 
 use crate::{ownership::Peer, time::Moment};
 
-/// How many proxies of a data centre watch the store: one more than may be lost without a pause.
-const FEEDERS: usize = 2;
+/// Two, so that one relay may fail without interrupting its followers.
+const RELAYS_PER_DC: usize = 2;
 
-/// How many feeders of other data centres are asked before the store is.
-const OUTSIDE: usize = 2;
+/// The number of relays in other data centres that are tried before the store.
+const MAX_REMOTE_RELAYS: usize = 2;
 
-/// How long a feeder's or a follower's question waits for changes. Twice the first and once the
-/// second must fit into the time for which a list of servers is gone by ([`LIST_HOLDS`]).
+/// The timeout of a long poll, by a relay at the store or by a follower at a relay. Two polls of the relay
+/// and one of the follower must fit into the time for which a list of servers is used ([`LIST_HOLDS`]).
 ///
 /// [`LIST_HOLDS`]: crate::roster::LIST_HOLDS
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How old a proxy's knowledge may be for it to feed others: a feeder's between two answers, with the
-/// time after which a silent store counts as lost.
+/// The maximum staleness at which a proxy still serves followers. Covers a relay's poll and the time until
+/// it notices that the store does not respond.
 pub const MAX_RELAY_AGE: Duration = Duration::from_millis(4_000);
 
-/// How long another proxy that failed is not asked again, if there is another source.
-const PEER_REST: Duration = Duration::from_millis(1_000);
+/// How long a proxy that failed is avoided as a source while there are others.
+const PEER_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// The same for the store, in a proxy that is to watch it. One that is not leaves it alone for longer: the
-/// feeders find out that it is back, and hundreds of calls would greet it.
-const STORE_REST: Duration = Duration::from_millis(1_000);
-const STORE_REST_OF_FOLLOWERS: Duration = Duration::from_millis(4_000);
+/// How long a relay avoids the store after a failure. Followers wait longer, so that they do not all
+/// connect to a store that has just recovered.
+const RELAY_STORE_BACKOFF: Duration = Duration::from_millis(1_000);
+const FOLLOWER_STORE_BACKOFF: Duration = Duration::from_millis(4_000);
 
-/// Who tells of changes.
+/// A source of changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
     Store,
-    /// The proxy of this id.
+    /// The proxy with this id.
     Peer(String),
 }
 
-/// The feeders of the data centre `dc`, first the strongest VMs: each change goes out from them as
-/// often as they have followers.
+/// The relays of the data centre `dc`: the proxies on the VMs with the highest capacity, as a relay sends
+/// each change to all its followers.
 pub fn relays<'a>(peers: &'a [Peer], dc: &str) -> Vec<&'a Peer> {
     let mut near: Vec<&Peer> = peers.iter().filter(|peer| peer.dc == dc).collect();
     near.sort_by_cached_key(|peer| (Reverse(peer.capacity as u64), hash::salt(&peer.id)));
-    near.truncate(FEEDERS);
+    near.truncate(RELAYS_PER_DC);
     near
 }
 
-/// Where one proxy stands among those that feed.
+/// Whether a proxy is a relay, and the sources that it may follow.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subscription {
-    /// Whether it watches the store itself.
+    /// Whether it watches the store and serves followers.
     pub is_relay: bool,
-    /// Whom it asks, best first; the store is among them.
+    /// In order of preference, including the store.
     pub sources: Vec<Source>,
 }
 
 impl Subscription {
-    /// The place of the proxy `own` of `dc` among `peers`. A proxy that does not find itself there yet
-    /// feeds only where there are too few feeders without it.
+    /// The subscription of the proxy with the id `own` in `dc`. A proxy that is not in `peers` yet is a
+    /// relay only if its data centre has too few without it.
     pub fn new(peers: &[Peer], own: &str, dc: &str) -> Self {
         let near = relays(peers, dc);
-        let is_relay = near.len() < FEEDERS || near.iter().any(|peer| peer.id == own);
+        let is_relay = near.len() < RELAYS_PER_DC || near.iter().any(|peer| peer.id == own);
         let others = near.into_iter().filter(|peer| peer.id != own);
-        let mut sources = ordered(others.collect(), own);
-        sources.extend(outside(peers, own, dc));
+        let mut sources = order_by_hash(others.collect(), own);
+        sources.extend(remote_relays(peers, own, dc));
         match is_relay {
             true => sources.insert(0, Source::Store),
             false => sources.push(Source::Store),
@@ -79,44 +79,43 @@
     }
 }
 
-/// Some feeders of other data centres, others for each proxy.
-fn outside(peers: &[Peer], own: &str, dc: &str) -> Vec<Source> {
+/// A few relays of other data centres, chosen per proxy so that followers are spread over them.
+fn remote_relays(peers: &[Peer], own: &str, dc: &str) -> Vec<Source> {
     let mut dcs: Vec<&str> = peers.iter().map(|peer| peer.dc.as_str()).collect();
     dcs.sort_unstable();
     dcs.dedup();
     let others = dcs.into_iter().filter(|other| *other != dc);
     let far = others.flat_map(|other| relays(peers, other)).collect();
-    let mut sources = ordered(far, own);
-    sources.truncate(OUTSIDE);
+    let mut sources = order_by_hash(far, own);
+    sources.truncate(MAX_REMOTE_RELAYS);
     sources
 }
 
-/// Spreads the followers over their feeders.
-fn ordered(mut peers: Vec<&Peer>, own: &str) -> Vec<Source> {
+/// Orders the proxies differently for each follower, which spreads followers over relays.
+fn order_by_hash(mut peers: Vec<&Peer>, own: &str) -> Vec<Source> {
     peers.sort_by_cached_key(|peer| hash::salt(&(own, &peer.id)));
     let sources = peers.into_iter().map(|peer| Source::Peer(peer.id.clone()));
     sources.collect()
 }
 
-/// Which sources failed when.
+/// The most recent failure of each source.
 #[derive(Clone, Debug, Default)]
 pub struct Failures {
     failed: Map<Source, Moment>,
 }
 
 impl Failures {
-    /// The source to ask now: the best of those that did not fail a moment ago, or the one whose rest
-    /// is over first.
+    /// The most preferred source that is not backing off, or the one whose backoff ends first.
     pub fn choose(&self, subscription: &Subscription, now: Moment) -> Source {
         let mut sources = subscription.sources.iter();
         let ready = sources.find(|source| !self.is_backing_off(source, subscription, now));
         let ready_at =
-            |source: &Source| Some(*self.failed.get(source)? + subscription.rest(source));
+            |source: &Source| Some(*self.failed.get(source)? + subscription.backoff(source));
         let first = || subscription.sources.iter().min_by_key(|s| ready_at(s));
         ready.or_else(first).cloned().unwrap_or(Source::Store)
     }
 
-    /// Whether a source failed a moment ago and is better left alone.
+    /// Whether a source failed recently and should not be asked yet.
     pub fn is_backing_off(
         &self,
         source: &Source,
@@ -124,38 +123,38 @@
         now: Moment,
     ) -> bool {
         let failed = self.failed.get(source);
-        failed.is_some_and(|failed| now < *failed + subscription.rest(source))
+        failed.is_some_and(|failed| now < *failed + subscription.backoff(source))
     }
 
-    /// Notes that a source failed.
+    /// Records a failure of a source.
     pub fn record(&mut self, source: &Source, now: Moment) {
-        let recent = |failed: &Moment| now.since(*failed) < STORE_REST_OF_FOLLOWERS;
+        let recent = |failed: &Moment| now.since(*failed) < FOLLOWER_STORE_BACKOFF;
         self.failed.retain(|_, failed| recent(failed));
         self.failed.insert(source.clone(), now);
     }
 
-    /// Notes that a source answered.
+    /// Clears the failure of a source that answered.
     pub fn clear(&mut self, source: &Source) {
         self.failed.remove(source);
     }
 }
 
 impl Subscription {
-    fn rest(&self, source: &Source) -> Duration {
+    fn backoff(&self, source: &Source) -> Duration {
         match source {
-            Source::Peer(_) => PEER_REST,
-            Source::Store if self.is_relay => STORE_REST,
-            Source::Store => STORE_REST_OF_FOLLOWERS,
+            Source::Peer(_) => PEER_BACKOFF,
+            Source::Store if self.is_relay => RELAY_STORE_BACKOFF,
+            Source::Store => FOLLOWER_STORE_BACKOFF,
         }
     }
 }
 
-/// Up to when a follower that asked at `asked` has missed nothing, by an answer that was given after
-/// `waited` by one who knew of everything up to `age` before that.
+/// The time up to which a follower has all changes, given a response to its request of `asked`. The relay
+/// responded after `waited`, and its content was `age` old at that point.
 ///
-/// Failure: the feeder or the follower is suspended, or the answer is held up on its way, and a list
-/// that is seconds old looks young. Guard: the answer was given `waited` after the question at the
-/// earliest, and both lengths are by the one clock of the feeder, which counts suspensions.
+/// The result is a lower bound even if the relay or follower was suspended or the response was delayed:
+/// the response was sent `waited` after `asked` at the earliest, and both durations are measured by
+/// the relay's clock, which includes time in suspension.
 pub fn known_until(asked: Moment, waited: Duration, age: Duration) -> Moment {
     asked + waited - age
 }
--- a/crates/engine/src/mirror.rs
+++ b/crates/engine/src/mirror.rs
@@ -1,8 +1,8 @@
-//! A copy of what the store holds, kept so that it can be handed on to other proxies.
+//! A copy of the store's content, from which changes are relayed to other proxies.
 //!
-//! Load pattern: each change of the store wakes every proxy that watches it, so calls grow with proxies
-//! times changes. A proxy that has a mirror tells others what changed after the revision that they
-//! have reached, as the store itself would (`docs/DESIGN.md`, "Changes of the store").
+//! If every proxy watched the store, its load would grow with the number of proxies times the number of
+//! changes. A proxy with a mirror answers others like the store itself: with the changes since the
+//! revision that they have reached (`docs/DESIGN.md`, "Changes of the store").
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -10,8 +10,8 @@
 
 use crate::era;
 
-/// How many removals are remembered; whoever has missed more is told everything anew.
-const MOST_REMOVED: usize = 2_000;
+/// Bounds the memory for removed keys. A follower that has missed more removals gets a snapshot.
+const MAX_TOMBSTONES: usize = 2_000;
 
 /// A key and its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     pub revision: u64,
 }
 
-/// A key as it now is.
+/// The latest change of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change<V> {
     Written(Item<V>),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The store's revision at which it changed.
+    /// The store's revision of the change.
     pub fn revision(&self) -> u64 {
         match self {
             Self::Written(Item { revision, .. }) | Self::Removed { revision, .. } => *revision,
@@ -45,12 +45,12 @@
     }
 }
 
-/// What somebody who has reached an earlier revision is to be told.
+/// The changes that bring a follower from an earlier revision to `revision`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update<V> {
-    /// The revision reached with it.
+    /// The revision reached by applying the update.
     pub revision: u64,
-    /// Whether these are all keys there are, and others are gone.
+    /// Whether these are all keys there are, and others are absent.
     pub is_snapshot: bool,
     pub changes: Vec<Change<V>>,
 }
@@ -59,11 +59,11 @@
 #[derive(Clone, Debug)]
 pub struct Mirror<V> {
     values: Map<String, (u64, V)>,
-    /// The keys by the revision of their last change.
+    /// The keys in the order of their last writes.
     order: BTreeSet<(u64, String)>,
-    removed: VecDeque<(u64, String)>,
-    /// Removals up to this revision are not remembered.
-    horizon: u64,
+    tombstones: VecDeque<(u64, String)>,
+    /// Removals up to this revision are unknown: discarded, or older than the first snapshot.
+    compacted_revision: u64,
     revision: u64,
 }
 
@@ -72,15 +72,15 @@
         Self {
             values: Map::default(),
             order: BTreeSet::new(),
-            removed: VecDeque::new(),
-            horizon: 0,
+            tombstones: VecDeque::new(),
+            compacted_revision: 0,
             revision: 0,
         }
     }
 }
 
 impl<V: Clone> Mirror<V> {
-    /// The revision up to which the mirror has everything; 0 before it has anything.
+    /// The revision that the mirror has reached; 0 if it is empty.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -97,7 +97,7 @@
     /// configuration is replaced by an earlier one. Guard: older updates are left out.
     ///
     /// Failure: the store came back from a copy, and what changed since is taken for all there is, beside
-    /// keys that are gone. Guard: a later era begins with everything, and so does whoever is told of it.
+    /// keys that are absent. Guard: a later era begins with everything, and so does whoever is told of it.
     pub fn apply(&mut self, update: &Update<V>) -> bool {
         if update.revision < self.revision {
             return false;
@@ -109,7 +109,7 @@
             *self = Self::default();
         }
         if update.is_snapshot {
-            self.drop_missing(update);
+            self.remove_absent(update);
         }
         for change in &update.changes {
             match change {
@@ -121,9 +121,9 @@
         true
     }
 
-    /// What somebody at revision `after` has missed.
+    /// The changes after the revision `after`, or a snapshot if removals since have been discarded.
     pub fn since(&self, after: u64) -> Update<V> {
-        let is_snapshot = after < self.horizon;
+        let is_snapshot = after < self.compacted_revision;
         let from = match is_snapshot {
             true => 0,
             false => after + 1,
@@ -137,7 +137,7 @@
                 revision: *revision,
             }))
         });
-        let removed = self.removed.iter();
+        let removed = self.tombstones.iter();
         let removed = removed.filter(|(revision, _)| !is_snapshot && *revision > after);
         let removed = removed.map(|(revision, key)| Change::Removed {
             key: key.clone(),
@@ -152,19 +152,19 @@
         }
     }
 
-    /// Removes the keys that a complete update does not name. When they went is not known, so they count as
-    /// removed with the last of it.
-    fn drop_missing(&mut self, update: &Update<V>) {
+    /// Removes the keys that a snapshot does not list. The revisions of their removal are unknown, so the
+    /// snapshot's revision is used.
+    fn remove_absent(&mut self, update: &Update<V>) {
         if self.revision == 0 {
-            self.horizon = update.revision;
+            self.compacted_revision = update.revision;
         }
-        let named: BTreeSet<&str> = update.changes.iter().map(Change::key).collect();
-        let gone = self
+        let present: BTreeSet<&str> = update.changes.iter().map(Change::key).collect();
+        let absent = self
             .values
             .keys()
-            .filter(|key| !named.contains(key.as_str()));
-        let gone: Vec<String> = gone.cloned().collect();
-        for key in gone {
+            .filter(|key| !present.contains(key.as_str()));
+        let absent: Vec<String> = absent.cloned().collect();
+        for key in absent {
             self.remove(&key, update.revision);
         }
     }
@@ -180,10 +180,10 @@
         if let Some((old, _)) = self.values.remove(key) {
             self.order.remove(&(old, key.to_owned()));
         }
-        self.removed.push_back((revision, key.to_owned()));
-        if self.removed.len() > MOST_REMOVED {
-            if let Some((forgotten, _)) = self.removed.pop_front() {
-                self.horizon = self.horizon.max(forgotten);
+        self.tombstones.push_back((revision, key.to_owned()));
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            if let Some((compacted, _)) = self.tombstones.pop_front() {
+                self.compacted_revision = self.compacted_revision.max(compacted);
             }
         }
     }
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -1,15 +1,13 @@
-//! Which proxies hold the connections of a database group.
+//! Ownership: which proxies hold the connections to the servers of a database group.
 //!
-//! Load pattern: many proxies before servers that take few connections. If each held its own, servers
-//! would turn most of them away, most statements would find none, and each proxy would ask every
-//! group for itself what its reads must see.
-//! So a few proxies of each data centre own a group's connections, and the others hand their
-//! statements to one of them (`docs/DESIGN.md`, "Many proxies"). The group's work then waits in few
-//! queues, and the questions to its servers grow with its owners.
+//! Servers accept too few connections for every proxy of a large deployment to have its own. A few
+//! proxies of each data centre therefore own a group's connections, and the others forward their
+//! statements to one of them (`docs/DESIGN.md`, "Many proxies"). This also limits the number of
+//! queues, and of status requests to the servers, per group.
 //!
-//! Who owns is a matter of rendezvous hashing over the live proxies: those who know the same proxies
-//! pick the same owners. Two that disagree for a moment hand to different ones, and any proxy serves
-//! what it is handed.
+//! Owners are chosen by weighted rendezvous hashing over the live proxies, so proxies with the same
+//! list choose the same owners. Lists may differ temporarily; this is harmless, as every proxy serves
+//! the statements that are forwarded to it.
 
 use std::{cmp::Ordering, net::SocketAddr};
 
@@ -17,31 +15,25 @@
 
 use crate::share;
 
-/// How many connections to each server an owner has at least: some are held by transactions through
-/// their callers' pauses, and one of those must not stop all other statements.
-const CONNECTIONS_EACH: usize = 3;
+/// The minimum for an owner per server. With fewer, idle open transactions could block all other
+/// statements.
+const MIN_OWNER_CONNECTIONS: usize = 3;
 
-/// The part of a server's connections that owners use at most. The rest is room for connections of
-/// owners that are gone: those of a VM that lost its power count for three seconds more.
-const USED_PART: usize = 2;
+/// Owners together use at most 1/n of a server's connections. The rest is reserved for new owners while
+/// the server still counts the connections of owners that have failed.
+const BUDGET_DIVISOR: usize = 2;
 
-/// How many connections to each server a proxy may open that owns none of its group's: for when it reaches
-/// the servers but no owner.
-///
-/// Load pattern: some proxies are cut off from the others for seconds and still get their share
-/// of the callers. One connection each fits into the room that owners leave.
+/// The connection limit per server of a proxy that does not own the group, used while it reaches the
+/// servers but no owner, as in a network partition. Fits into the connections that owners leave free.
 pub const NON_OWNER_CONNECTIONS: usize = 1;
 
-/// Processor time that one statement of another proxy takes, in seconds: two messages read and
-/// written on each side.
+/// CPU time of a forwarded statement, in core seconds.
 const STATEMENT_CORE_SECONDS: f64 = 0.4e-3;
 
-/// Bits that one statement of another proxy moves over the VM's link: an answer of 2 KB comes in and
-/// goes out.
+/// Network traffic of a forwarded statement: a 2 KB response received and sent.
 const STATEMENT_BITS: f64 = 32_000.0;
 
-/// How many statements a second a VM can run for others; what is weighed is only one VM against
-/// another.
+/// The number of forwarded statements per second that a VM can serve. Used only as a relative weight.
 pub fn capacity(cores: f64, link_mbps: f64) -> f64 {
     let processor = cores / STATEMENT_CORE_SECONDS;
     let link = link_mbps * 1e6 / STATEMENT_BITS;
@@ -53,42 +45,42 @@
 pub struct Peer {
     pub id: String,
     pub dc: String,
-    /// Where other proxies hand statements to it.
+    /// Where it accepts statements from other proxies.
     pub address: SocketAddr,
-    /// Its weight among others, as of [`capacity`].
+    /// Its weight in the choice of owners; see [`capacity`].
     pub capacity: f64,
 }
 
-/// How many connections a group's servers take.
+/// The limits of each server of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub max_connections: u32,
     pub slots: u32,
 }
 
-/// Who holds the connections of a group.
+/// Which proxies hold connections to a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Allocation {
     /// Every proxy.
     All { members: usize },
-    /// So many proxies of each of so many data centres.
+    /// `per_dc` proxies in each of `dcs` data centres.
     Owners { per_dc: usize, dcs: usize },
 }
 
 impl Allocation {
-    /// Decides for `members` proxies in `dcs` data centres. Every proxy holds its own connections as
-    /// long as there are enough for all: a statement then takes one hop less.
+    /// The allocation for `members` proxies in `dcs` data centres. If there are enough connections,
+    /// every proxy has its own, which saves forwarding.
     pub fn new(members: usize, dcs: usize, limits: Limits) -> Self {
-        if members * share::FEWEST * USED_PART <= share::usable(limits.max_connections) {
+        if members * share::FEWEST * BUDGET_DIVISOR <= share::usable(limits.max_connections) {
             return Self::All { members };
         }
         let dcs = dcs.max(1);
-        let owners = budget(limits) / CONNECTIONS_EACH;
+        let owners = budget(limits) / MIN_OWNER_CONNECTIONS;
         let per_dc = owners.div_ceil(dcs).max(1);
         Self::Owners { per_dc, dcs }
     }
 
-    /// How many connections a proxy that holds some may open to a server.
+    /// The connection limit per server of an owner.
     pub fn connections(self, limits: Limits) -> usize {
         match self {
             Self::All { members } => {
@@ -96,37 +88,38 @@
             }
             Self::Owners { per_dc, dcs } => {
                 let useful = budget(limits).div_ceil(per_dc * dcs);
-                let most = share::usable(limits.max_connections) / (per_dc * dcs);
-                useful.max(CONNECTIONS_EACH).min(most).max(1)
+                let limit = share::usable(limits.max_connections) / (per_dc * dcs);
+                useful.max(MIN_OWNER_CONNECTIONS).min(limit).max(1)
             }
         }
     }
 }
 
-/// How many connections to one server all owners together use.
+/// The number of connections per server for all owners together.
 fn budget(limits: Limits) -> usize {
     let useful = limits.slots as usize * share::PER_SLOT;
-    useful.min(share::usable(limits.max_connections) / USED_PART)
+    useful.min(share::usable(limits.max_connections) / BUDGET_DIVISOR)
 }
 
-/// What one proxy does with statements for a group.
+/// How a proxy serves the statements of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Run them on its own connections.
+    /// Run them on this proxy's own connections.
     Run,
-    /// Hand them to one of these proxies, the first that takes them: those of its data centre, those of
-    /// others, then those that are next in its own if all owners are gone.
+    /// Forward them to the first of these proxies that accepts them. `local` are the owners in the
+    /// proxy's data centre. `fallback` are the owners in other data centres, followed by the proxies
+    /// of its own data centre that rank next after the owners.
     Forward {
         local: Vec<String>,
         fallback: Vec<String>,
     },
 }
 
-/// How many proxies that are no owners are named in case all owners are lost at once.
-const SPARES: usize = 2;
+/// Proxies listed in addition to the owners, in case all owners fail at once.
+const SPARE_PROXIES: usize = 2;
 
-/// The plan of the proxy `own` in `dc` for a group. One that is not among the proxies, as it has just
-/// started or stops, owns nothing if there are others.
+/// The plan of the proxy with the id `own` in `dc` for a group. A proxy that is not in `peers`, since it
+/// is starting or stopping, owns no group unless `peers` is empty.
 pub fn plan(peers: &[Peer], own: &str, dc: &str, service: &str, allocation: Allocation) -> Plan {
     let Allocation::Owners { per_dc, .. } = allocation else {
         return Plan::Run;
@@ -142,7 +135,7 @@
         let of_its_dc = fallback.iter().filter(|other| other.dc == peer.dc).count();
         match peer.dc == dc {
             true if local.len() < per_dc => local.push(peer.id.clone()),
-            true if spare.len() < SPARES => spare.push(peer.id.clone()),
+            true if spare.len() < SPARE_PROXIES => spare.push(peer.id.clone()),
             false if of_its_dc < per_dc => fallback.push(peer),
             _ => {}
         }
@@ -155,7 +148,7 @@
     Plan::Forward { local, fallback }
 }
 
-/// Which proxies came and went between two lists, both in the order of their ids.
+/// The difference between two lists of proxies that are sorted by id.
 #[derive(Clone, Debug, Default)]
 pub struct Change<'a> {
     added: Vec<&'a Peer>,
@@ -163,7 +156,7 @@
 }
 
 impl<'a> Change<'a> {
-    /// What changed from `before` to `now`; a proxy that says something else of itself went and came.
+    /// The change from `before` to `now`. A proxy whose properties changed counts as removed and added.
     pub fn new(before: &'a [Peer], now: &'a [Peer]) -> Self {
         let among = |peers: &[Peer], peer: &Peer| find(peers, &peer.id) == Some(peer);
         Self {
@@ -178,7 +171,7 @@
     index.ok().map(|index| &peers[index])
 }
 
-/// Who asks for a plan, and of which group.
+/// The proxy and the group that a plan is for.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
     pub own: &'a str,
@@ -186,11 +179,10 @@
     pub service: &'a str,
 }
 
-/// The plan after a change, from the one before under the same `holding`.
+/// The plan after a change, given the previous plan `known` under the same `allocation`.
 ///
-/// Load pattern: one proxy of thousands is restarted, and each of the others ranks all of them anew for
-/// thousands of groups. Only a group that named the one that went, or would name the one that came, is
-/// ranked again.
+/// Proxies are ranked again only if the plan lists a removed proxy or would list an added one. Otherwise
+/// the restart of one proxy would make every other proxy rank all proxies for all groups.
 pub fn replan(
     known: &Plan,
     change: &Change<'_>,
@@ -199,44 +191,51 @@
     allocation: Allocation,
 ) -> Plan {
     let Query { own, dc, service } = query;
-    let keeps = match (known, allocation) {
+    let unaffected = match (known, allocation) {
         (Plan::Forward { local, fallback }, Allocation::Owners { per_dc, .. }) => {
-            let named = local.iter().chain(fallback);
-            let named: Vec<&str> = named.map(String::as_str).collect();
-            let lost = |peer: &&Peer| named.contains(&peer.id.as_str());
-            let joins = |peer: &&Peer| {
-                let most = match peer.dc == dc {
-                    true => per_dc + SPARES,
+            let listed = local.iter().chain(fallback);
+            let listed: Vec<&str> = listed.map(String::as_str).collect();
+            let was_listed = |peer: &&Peer| listed.contains(&peer.id.as_str());
+            let would_join = |peer: &&Peer| {
+                let limit = match peer.dc == dc {
+                    true => per_dc + SPARE_PROXIES,
                     false => per_dc,
                 };
-                peer.id == own || would_be_named(peer, &named, peers, service, most)
+                peer.id == own || would_be_listed(peer, &listed, peers, service, limit)
             };
-            !change.removed.iter().any(lost) && !change.added.iter().any(joins)
+            !change.removed.iter().any(was_listed) && !change.added.iter().any(would_join)
         }
         _ => false,
     };
-    match keeps {
+    match unaffected {
         true => known.clone(),
         false => plan(peers, own, dc, service, allocation),
     }
 }
 
-/// Whether `peer` ranks among the first `most` of its data centre, of whom `named` holds those so far.
-fn would_be_named(peer: &Peer, named: &[&str], peers: &[Peer], service: &str, most: usize) -> bool {
-    let same_dc = named.iter().filter_map(|id| find(peers, id));
+/// Whether `peer` ranks among the first `limit` proxies of its data centre, given those in `listed`.
+fn would_be_listed(
+    peer: &Peer,
+    listed: &[&str],
+    peers: &[Peer],
+    service: &str,
+    limit: usize,
+) -> bool {
+    let same_dc = listed.iter().filter_map(|id| find(peers, id));
     let same_dc: Vec<&Peer> = same_dc.filter(|other| other.dc == peer.dc).collect();
     let own = score(peer, service);
-    same_dc.len() < most || same_dc.iter().any(|other| score(other, service) <= own)
+    same_dc.len() < limit || same_dc.iter().any(|other| score(other, service) <= own)
 }
 
-/// A proxy's rank for a group: higher is earlier.
+/// A proxy's score for a group; the proxies with the highest scores are its owners.
 fn score(peer: &Peer, service: &str) -> f64 {
     let share = hash::share(&(service, &peer.id)).clamp(1e-9, 1.0 - 1e-9);
     -peer.capacity / share.ln()
 }
 
-/// All proxies, the group's first owner first: by weighted rendezvous hashing, so that a proxy that
-/// comes or goes moves only its own groups, and each owns in proportion to its capacity.
+/// All proxies by descending score, which is their order of preference as owners. With weighted
+/// rendezvous hashing, an added or removed proxy moves only its own groups, and proxies own groups in
+/// proportion to their capacity.
 fn rank<'a>(peers: &'a [Peer], service: &str) -> Vec<&'a Peer> {
     let scored = peers.iter().map(|peer| (score(peer, service), peer));
     let mut scored: Vec<(f64, &Peer)> = scored.collect();
