--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -47,10 +47,10 @@
 /// The relays of the data centre `dc`: the proxies on the VMs with the highest capacity, as a relay sends
 /// each change to all its followers.
 pub fn relays<'a>(peers: &'a [Peer], dc: &str) -> Vec<&'a Peer> {
-    let mut near: Vec<&Peer> = peers.iter().filter(|peer| peer.dc == dc).collect();
-    near.sort_by_cached_key(|peer| (Reverse(peer.capacity as u64), hash::salt(&peer.id)));
-    near.truncate(RELAYS_PER_DC);
-    near
+    let mut local: Vec<&Peer> = peers.iter().filter(|peer| peer.dc == dc).collect();
+    local.sort_by_cached_key(|peer| (Reverse(peer.capacity as u64), hash::salt(&peer.id)));
+    local.truncate(RELAYS_PER_DC);
+    local
 }
 
 /// Whether a proxy is a relay, and the sources that it may follow.
@@ -66,9 +66,9 @@
     /// The subscription of the proxy with the id `own` in `dc`. A proxy that is not in `peers` yet is a
     /// relay only if its data centre has too few without it.
     pub fn new(peers: &[Peer], own: &str, dc: &str) -> Self {
-        let near = relays(peers, dc);
-        let is_relay = near.len() < RELAYS_PER_DC || near.iter().any(|peer| peer.id == own);
-        let others = near.into_iter().filter(|peer| peer.id != own);
+        let local = relays(peers, dc);
+        let is_relay = local.len() < RELAYS_PER_DC || local.iter().any(|peer| peer.id == own);
+        let others = local.into_iter().filter(|peer| peer.id != own);
         let mut sources = order_by_hash(others.collect(), own);
         sources.extend(remote_relays(peers, own, dc));
         match is_relay {
@@ -85,8 +85,8 @@
     dcs.sort_unstable();
     dcs.dedup();
     let others = dcs.into_iter().filter(|other| *other != dc);
-    let far = others.flat_map(|other| relays(peers, other)).collect();
-    let mut sources = order_by_hash(far, own);
+    let remote = others.flat_map(|other| relays(peers, other)).collect();
+    let mut sources = order_by_hash(remote, own);
     sources.truncate(MAX_REMOTE_RELAYS);
     sources
 }
@@ -149,11 +149,12 @@
     }
 }
 
-/// The time up to which a follower has all changes, given a response to its request of `asked`. The relay
-/// responded after `waited`, and its content was `age` old at that point.
+/// The time up to which a follower has all changes after a response to the request that it sent at
+/// `asked`. The relay responded `waited` after it received the request, and may have missed changes of
+/// the last `age` before that.
 ///
 /// The result is a lower bound even if the relay or follower was suspended or the response was delayed:
-/// the response was sent `waited` after `asked` at the earliest, and both durations are measured by
+/// the relay responded `waited` after `asked` at the earliest, and both durations are measured by
 /// the relay's clock, which includes time in suspension.
 pub fn known_until(asked: Moment, waited: Duration, age: Duration) -> Moment {
     asked + waited - age
--- a/crates/engine/src/mirror.rs
+++ b/crates/engine/src/mirror.rs
@@ -50,12 +50,12 @@
 pub struct Update<V> {
     /// The revision reached by applying the update.
     pub revision: u64,
-    /// Whether these are all keys there are, and others are absent.
+    /// Whether `changes` lists every key that exists, so that all other keys are removed.
     pub is_snapshot: bool,
     pub changes: Vec<Change<V>>,
 }
 
-/// The store's content at one revision.
+/// The store's content at one revision, with the removals that followers may have missed.
 #[derive(Clone, Debug)]
 pub struct Mirror<V> {
     values: Map<String, (u64, V)>,
@@ -91,13 +91,14 @@
         Some((*revision, value))
     }
 
-    /// Takes an update that follows the mirror's revision, and returns whether it did.
+    /// Applies an update unless it is older than the mirror, and returns whether it was applied.
     ///
-    /// Failure: a proxy turns from one source to another that is behind the first, and a
-    /// configuration is replaced by an earlier one. Guard: older updates are left out.
+    /// Older updates occur when a proxy switches to a source that is behind the previous one; applied,
+    /// they would bring back an older configuration.
     ///
-    /// Failure: the store came back from a copy, and what changed since is taken for all there is, beside
-    /// keys that are absent. Guard: a later era begins with everything, and so does whoever is told of it.
+    /// A later era means that the store was restored from a backup. It has to start with a snapshot,
+    /// since changes alone would leave keys in the mirror that the restored store does not have. The
+    /// mirror is cleared first, so its followers get a snapshot as well.
     pub fn apply(&mut self, update: &Update<V>) -> bool {
         if update.revision < self.revision {
             return false;
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -80,7 +80,7 @@
         Self::Owners { per_dc, dcs }
     }
 
-    /// The connection limit per server of an owner.
+    /// The connection limit per server of a proxy that holds connections.
     pub fn connections(self, limits: Limits) -> usize {
         match self {
             Self::All { members } => {
