--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -71,7 +71,7 @@
     /// Run the statement on a backend server; `named` is set for an `EXECUTE`.
     Run {
         effect: Effect,
-        named: Option<Execution>,
+        execution: Option<Execution>,
     },
 }
 
@@ -201,12 +201,12 @@
         Step::Refuse(refusal)
     }
 
-    fn write(&mut self, named: Option<Execution>) -> Step {
+    fn write(&mut self, execution: Option<Execution>) -> Step {
         match self.phase {
             Phase::Open(Transaction {
                 read_only: true, ..
             }) => self.fail(Refusal::new(Code::Syntax, "the transaction is read-only")),
-            _ => run(Effect::Write, named),
+            _ => run(Effect::Write, execution),
         }
     }
 
@@ -231,13 +231,13 @@
             return self.unknown_name(name);
         };
         let writes = definition.writes;
-        let named = Some(Execution {
+        let execution = Some(Execution {
             definition,
             arguments: arguments.to_owned(),
         });
         match writes {
-            true => self.write(named),
-            false => run(Effect::Read, named),
+            true => self.write(execution),
+            false => run(Effect::Read, execution),
         }
     }
 
@@ -247,8 +247,8 @@
     }
 }
 
-fn run(effect: Effect, named: Option<Execution>) -> Step {
-    Step::Run { effect, named }
+fn run(effect: Effect, execution: Option<Execution>) -> Step {
+    Step::Run { effect, execution }
 }
 
 fn syntax(why: &str) -> Step {
--- a/crates/engine/tests/session.rs
+++ b/crates/engine/tests/session.rs
@@ -101,13 +101,13 @@
 
     let step = session.step(&execute, NOW);
 
-    let Step::Run { effect, named } = step else {
+    let Step::Run { effect, execution } = step else {
         panic!("{step:?}")
     };
-    let named = named.expect("a named statement");
+    let execution = execution.expect("a named statement");
     assert_eq!(effect, Effect::Write);
-    assert!(named.definition.writes);
-    assert_eq!(named.arguments, "1a4 x");
+    assert!(execution.definition.writes);
+    assert_eq!(execution.arguments, "1a4 x");
 }
 
 #[test]
--- a/crates/proxy/src/line/backend/connection.rs
+++ b/crates/proxy/src/line/backend/connection.rs
@@ -84,7 +84,7 @@
 pub struct Question<'a> {
     pub id: &'a str,
     pub text: &'a str,
-    pub named: Option<&'a Execution>,
+    pub execution: Option<&'a Execution>,
 }
 
 /// Sends a statement and reads its answer, preparing the named statement first if it has to.
@@ -93,11 +93,15 @@
     question: Question<'_>,
     condition: Condition<'_>,
 ) -> Result<Answer, Error> {
-    let Question { id, text, named } = question;
+    let Question {
+        id,
+        text,
+        execution,
+    } = question;
     let Some(Execution {
         definition,
         arguments,
-    }) = named
+    }) = execution
     else {
         let query = Query::Caller {
             id,
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -41,7 +41,7 @@
     pub id: &'a str,
     pub text: &'a str,
     pub effect: Effect,
-    pub named: Option<&'a Execution>,
+    pub execution: Option<&'a Execution>,
     pub route: &'a Route,
     /// When its first bytes were read.
     pub arrived: Moment,
@@ -68,7 +68,7 @@
         Question {
             id: self.id,
             text: self.text,
-            named: self.named,
+            execution: self.execution,
         }
     }
 
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -280,7 +280,7 @@
             Origin::Peer => self.take_terms(terms),
         }
         let step = self.state.step(statement, arrived);
-        let (effect, named) = match step {
+        let (effect, execution) = match step {
             Step::Done => return Ok(None),
             Step::Rollback => {
                 if let Some(pinned) = self.pinned.take() {
@@ -292,7 +292,7 @@
                 self.release_failed();
                 return Err(refusal);
             }
-            Step::Run { effect, named } => (effect, named),
+            Step::Run { effect, execution } => (effect, execution),
         };
         let Some(route) = self.route.clone() else {
             return Err(Refusal::new(Code::NoDatabase, "no route"));
@@ -301,7 +301,7 @@
             id,
             text,
             effect,
-            named: named.as_ref(),
+            execution: execution.as_ref(),
             route: &route,
             arrived,
             isolated: self.shared.isolated.borrow().certain(arrived),
