--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -18,7 +18,7 @@
     pub hold: Duration,
 }
 
-/// Whether an arriving statement is queued.
+/// What to do with an arriving statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Queue the statement; it is expected to wait for `expected`.
@@ -33,7 +33,7 @@
 /// With a shorter retry-after the caller would find the same queue again.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Decides whether a statement that should be answered within `left` is queued.
+/// Decides whether a statement that should be answered within `left` is queued or refused.
 pub fn decide(queue: Queue, left: Duration) -> Decision {
     let ahead = (queue.waiting + 1) as f64 / queue.connections.max(1) as f64;
     let expected = queue.hold.mul_f64(ahead);
@@ -82,7 +82,7 @@
     }
 }
 
-/// A statement may search for a server for this fraction (1/n) of its route's target.
+/// A statement may search for a server for 1/n of its route's target.
 const SEARCH_TARGET_DIVISOR: u32 = 5;
 
 /// Whether a statement that arrived `waited` ago may keep searching for a server.
@@ -96,8 +96,8 @@
 
 /// How much longer a statement that arrived `waited` ago may search for a server.
 ///
-/// Bounds the wait for a primary search that is already running, which may itself wait for servers
-/// that do not answer.
+/// Limits how long the statement waits for a running search for the primary, which may in turn wait for
+/// servers that do not answer.
 pub fn remaining_search_time(waited: Duration, target: Duration) -> Duration {
     (target / SEARCH_TARGET_DIVISOR).saturating_sub(waited)
 }
--- a/crates/engine/src/catalog.rs
+++ b/crates/engine/src/catalog.rs
@@ -26,7 +26,7 @@
     pub consistency: Consistency,
     /// The maximum duration of a statement.
     pub timeout: Duration,
-    /// The latency target, by which queueing and retries are limited.
+    /// The latency target of an operation, which limits queueing and retries.
     pub target: Duration,
     /// 0 is the highest priority.
     pub priority: u32,
--- a/crates/engine/src/mirror.rs
+++ b/crates/engine/src/mirror.rs
@@ -59,8 +59,8 @@
 #[derive(Clone, Debug)]
 pub struct Mirror<V> {
     values: Map<String, (u64, V)>,
-    /// The keys in the order of their last writes.
-    order: BTreeSet<(u64, String)>,
+    /// Each key with the revision of its last write.
+    keys_by_revision: BTreeSet<(u64, String)>,
     tombstones: VecDeque<(u64, String)>,
     /// Removals up to this revision are unknown: discarded, or older than the first snapshot.
     compacted_revision: u64,
@@ -71,7 +71,7 @@
     fn default() -> Self {
         Self {
             values: Map::default(),
-            order: BTreeSet::new(),
+            keys_by_revision: BTreeSet::new(),
             tombstones: VecDeque::new(),
             compacted_revision: 0,
             revision: 0,
@@ -129,7 +129,7 @@
             true => 0,
             false => after + 1,
         };
-        let written = self.order.range((from, String::new())..);
+        let written = self.keys_by_revision.range((from, String::new())..);
         let written = written.filter_map(|(revision, key)| {
             let (_, value) = self.values.get(key)?;
             Some(Change::Written(Item {
@@ -172,14 +172,14 @@
 
     fn put(&mut self, key: &str, revision: u64, value: V) {
         if let Some((old, _)) = self.values.insert(key.to_owned(), (revision, value)) {
-            self.order.remove(&(old, key.to_owned()));
+            self.keys_by_revision.remove(&(old, key.to_owned()));
         }
-        self.order.insert((revision, key.to_owned()));
+        self.keys_by_revision.insert((revision, key.to_owned()));
     }
 
     fn remove(&mut self, key: &str, revision: u64) {
         if let Some((old, _)) = self.values.remove(key) {
-            self.order.remove(&(old, key.to_owned()));
+            self.keys_by_revision.remove(&(old, key.to_owned()));
         }
         self.tombstones.push_back((revision, key.to_owned()));
         if self.tombstones.len() > MAX_TOMBSTONES {
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -19,7 +19,7 @@
 /// statements.
 const MIN_OWNER_CONNECTIONS: usize = 3;
 
-/// Owners together use at most 1/n of a server's connections. The rest is reserved for new owners while
+/// All owners of a group share 1/n of a server's connections. The rest is reserved for new owners while
 /// the server still counts the connections of owners that have failed.
 const BUDGET_DIVISOR: usize = 2;
 
@@ -55,6 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub max_connections: u32,
+    /// The number of statements that a server runs concurrently.
     pub slots: u32,
 }
 
@@ -115,7 +116,7 @@
     },
 }
 
-/// Proxies listed in addition to the owners, in case all owners fail at once.
+/// The number of proxies listed in addition to the owners, in case all owners fail at once.
 const SPARE_PROXIES: usize = 2;
 
 /// The plan of the proxy with the id `own` in `dc` for a group. A proxy that is not in `peers`, since it
@@ -174,6 +175,7 @@
 /// The proxy and the group that a plan is for.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
+    /// The proxy's id.
     pub own: &'a str,
     pub dc: &'a str,
     pub service: &'a str,
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -30,7 +30,8 @@
     Open(Transaction),
     /// The transaction exceeded its idle timeout and was rolled back; the caller has not been told yet.
     TimedOut,
-    /// The transaction failed and was rolled back; only `COMMIT` and `ROLLBACK` are accepted.
+    /// The transaction failed and was rolled back. All statements are refused until `ROLLBACK`, or a
+    /// `COMMIT` that is refused too, ends it.
     Failed,
 }
 
@@ -68,7 +69,7 @@
     Rollback,
     /// Refuse the statement.
     Refuse(Refusal),
-    /// Run the statement on a backend server; `named` is set for an `EXECUTE`.
+    /// Run the statement on a backend server; `execution` is set for an `EXECUTE`.
     Run {
         effect: Effect,
         execution: Option<Execution>,
