--- a/crates/engine/benches/fleet.rs
+++ b/crates/engine/benches/fleet.rs
@@ -8,9 +8,9 @@
 use std::{hint::black_box, net::SocketAddr, time::Duration};
 
 use dandelionpitch_engine::{
-    feed::Place,
+    feed::Subscription,
     mirror::{Change, Item, Mirror, Update},
-    ownership::{self, Asker, Holding, Peer, Plan, Room},
+    ownership::{self, Allocation, Limits, Peer, Plan, Query},
 };
 use measure::{median, resident};
 
@@ -55,18 +55,18 @@
     };
     let entries = PROXIES + 3 * GROUPS;
     let mut mirror = Mirror::default();
-    for (whole, known) in [(true, 0..entries), (false, entries..entries + TOLD)] {
-        mirror.take(&Update {
+    for (is_snapshot, known) in [(true, 0..entries), (false, entries..entries + TOLD)] {
+        mirror.apply(&Update {
             revision: known.end as u64,
-            whole,
+            is_snapshot,
             changes: known.map(change).collect(),
         });
     }
     mirror
 }
 
-fn asker(service: &str) -> Asker<'_> {
-    Asker {
+fn query(service: &str) -> Query<'_> {
+    Query {
         own: OWN,
         dc: DC,
         service,
@@ -76,28 +76,28 @@
 fn main() {
     let before = fleet();
     let now: Vec<Peer> = before.iter().skip(1).cloned().collect();
-    let room = Room {
+    let limits = Limits {
         max_connections: 30,
         slots: 5,
     };
-    let holding = Holding::new(PROXIES, DCS, room);
+    let allocation = Allocation::new(PROXIES, DCS, limits);
     let services: Vec<String> = (0..GROUPS).map(|group| format!("g{group}")).collect();
-    let rank = |service: &String| ownership::plan(&before, OWN, DC, service, holding);
+    let rank = |service: &String| ownership::plan(&before, OWN, DC, service, allocation);
     let known: Vec<Plan> = services.iter().map(rank).collect();
 
     let anew = median(|| services.iter().for_each(|s| drop(black_box(rank(s)))));
     let carried = median(|| {
         let change = ownership::Change::new(&before, &now);
         for (service, known) in services.iter().zip(&known) {
-            let plan = ownership::replan(known, &change, &now, asker(service), holding);
+            let plan = ownership::replan(known, &change, &now, query(service), allocation);
             drop(black_box(plan));
         }
     });
-    let place = median(|| drop(black_box(Place::new(&now, OWN, DC))));
+    let place = median(|| drop(black_box(Subscription::new(&now, OWN, DC))));
     let empty = resident();
     let mirror = mirror();
     let kept = resident() - empty;
-    let told = median(|| drop(black_box(mirror.after(mirror.revision() - TOLD as u64))));
+    let told = median(|| drop(black_box(mirror.since(mirror.revision() - TOLD as u64))));
 
     let bound = Duration::from_secs_f64(SHARE * SECONDS_A_DAY / CHANGES_A_DAY);
     println!("owners: {anew:.1?} ranked anew, {carried:.1?} carried over, bound {bound:.1?}");
--- /dev/null
+++ b/crates/engine/src/forwarding.rs
@@ -0,0 +1,70 @@
+//! Forwarding of statements to other proxies: what is sent with a statement, and when the next proxy is
+//! tried.
+
+use std::time::Duration;
+
+use dandelionpitch_core::position::Position;
+
+use crate::{
+    admission,
+    catalog::{Consistency, Route},
+    refusal::Code,
+};
+
+/// The requirements of a forwarded statement. They are sent with each statement, so that the receiving
+/// proxy applies the configuration of the forwarding one, which may be newer than its own.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Requirements {
+    pub service: String,
+    /// 0 is the highest priority.
+    pub priority: u32,
+    /// The remaining part of the route's timeout.
+    pub timeout: Duration,
+    /// The remaining part of the route's target.
+    pub target: Duration,
+    pub consistency: Consistency,
+    /// The position of the session's last acknowledged commit, which a read must see.
+    pub floor: Option<Position>,
+}
+
+impl Requirements {
+    /// The requirements of a statement that arrived `waited` ago on `route`.
+    pub fn new(route: &Route, waited: Duration, floor: Option<Position>) -> Self {
+        Self {
+            service: route.service.clone(),
+            priority: route.priority,
+            timeout: route.timeout.saturating_sub(waited),
+            target: route.target.saturating_sub(waited),
+            consistency: route.consistency,
+            floor,
+        }
+    }
+}
+
+/// Allows for one owner of the group in each of two data centres.
+const MAX_ATTEMPTS: usize = 2;
+
+/// Whether a statement that arrived `waited` ago is forwarded to the next proxy after `attempts` proxies
+/// have refused it, the last one with `code`.
+///
+/// Another owner may have a shorter queue, or still reach the servers during a network partition. A
+/// statement is retried only if it was not run and enough of its target is left.
+pub fn may_retry(code: Code, attempts: usize, waited: Duration, target: Duration) -> bool {
+    code.guarantees_not_run() && attempts < MAX_ATTEMPTS && admission::may_search(waited, target)
+}
+
+impl From<Requirements> for Route {
+    fn from(requirements: Requirements) -> Self {
+        Self {
+            name: FORWARDED_ROUTE.to_owned(),
+            service: requirements.service,
+            consistency: requirements.consistency,
+            timeout: requirements.timeout,
+            target: requirements.target,
+            priority: requirements.priority,
+        }
+    }
+}
+
+/// The route name in logs for statements received from other proxies.
+const FORWARDED_ROUTE: &str = "handed over";
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -1,8 +1,8 @@
-//! What one caller's session is in the middle of, and what each of its statements comes to.
+//! The state machine of a caller's session.
 //!
-//! The session answers what needs no backend server itself (`SET`, `PREPARE`, `BEGIN`, `ROLLBACK`)
-//! and says of the rest whether it reads, writes or ends a transaction. A transaction takes a
-//! backend connection with its first statement, so callers that pause after `BEGIN` hold none.
+//! Statements that need no backend server (`SET`, `PREPARE`, `BEGIN`, `ROLLBACK`) are handled here; the
+//! others are classified as reads, writes or commits. A transaction is assigned a backend connection
+//! by its first statement, not by `BEGIN`, so callers that pause in between hold none.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,18 +10,17 @@
 
 use crate::{
     refusal::{Code, Refusal},
-    statement::{Shape, Statement},
+    statement::{Definition, Statement},
     time::Moment,
 };
 
-/// The most named statements and values one session may keep, so that a caller cannot fill the
-/// memory; drivers use a handful.
-const MOST_NAMES: usize = 1_000;
+/// The maximum number of prepared statements, and of variables, of one session. Bounds its memory.
+const MAX_NAMES: usize = 1_000;
 
-/// The values a session has set, by name.
-pub type Values = Arc<BTreeMap<String, String>>;
+/// Session variables by name.
+pub type Variables = Arc<BTreeMap<String, String>>;
 
-/// Where a session stands.
+/// The transaction state of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     /// No transaction is open.
@@ -29,9 +28,10 @@
     Idle,
     /// A transaction is open.
     Open(Transaction),
-    /// The transaction was rolled back while the caller rested, and the caller was not told yet.
-    Rested,
-    /// The transaction has failed and is rolled back; only its end is accepted.
+    /// The transaction exceeded its idle timeout and was rolled back; the caller has not been told yet.
+    TimedOut,
+    /// The transaction failed and was rolled back. All statements are refused until `ROLLBACK`, or a
+    /// `COMMIT` that is refused too, ends it.
     Failed,
 }
 
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transaction {
     pub read_only: bool,
-    /// When the caller opened it: its reads must see what was acknowledged before.
-    pub begun: Moment,
-    /// Whether it may have written on its connection.
+    /// When the caller opened it. Its reads must see all commits acknowledged before.
+    pub started_at: Moment,
+    /// Whether a write was sent on its connection.
     pub wrote: bool,
 }
 
@@ -53,81 +53,81 @@
     Commit,
 }
 
-/// A named statement to run under a name of the connection's own.
+/// The execution of a prepared statement. It is prepared on the backend connection under another name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
-    pub shape: Shape,
+pub struct Execution {
+    pub definition: Definition,
     pub arguments: String,
 }
 
-/// What a statement comes to.
+/// What the proxy has to do for a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It is done; the caller is told so.
+    /// Report success; nothing else is to be done.
     Done,
-    /// The transaction is over; its connection, if it has one, is to be rolled back.
+    /// Roll back the transaction's connection, if it has one, and report success.
     Rollback,
-    /// It is refused.
+    /// Refuse the statement.
     Refuse(Refusal),
-    /// A backend server runs it; `named` if it is the run of a named statement.
+    /// Run the statement on a backend server; `execution` is set for an `EXECUTE`.
     Run {
         effect: Effect,
-        named: Option<Named>,
+        execution: Option<Execution>,
     },
 }
 
-/// The state of one session.
+/// A caller's session.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     phase: Phase,
-    values: Values,
-    prepared: Map<String, Shape>,
+    variables: Variables,
+    prepared: Map<String, Definition>,
     /// The position of the session's last acknowledged commit.
     floor: Option<Position>,
 }
 
 impl Session {
-    /// Where the session stands.
+    /// The transaction state.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The values its statements run under.
-    pub fn values(&self) -> &Values {
-        &self.values
+    /// The variables that must be set on the connection on which its statements run.
+    pub fn variables(&self) -> &Variables {
+        &self.variables
     }
 
-    /// What its reads must see of its own commits.
+    /// The position of the session's last acknowledged commit, which its reads must see.
     pub fn floor(&self) -> Option<Position> {
         self.floor
     }
 
-    /// Goes on for another session, whose last commit is at `floor`: proxies hand statements of
-    /// many sessions over on one connection.
+    /// Replaces the position that reads must see. Used on connections between proxies, which carry the
+    /// statements of many sessions.
     pub fn set_floor(&mut self, floor: Option<Position>) {
         self.floor = floor;
     }
 
-    /// Forgets the session's commits: it reads from another group now, whose log has nothing to
-    /// do with them.
-    pub fn forget_floor(&mut self) {
+    /// Clears the position that reads must see, as the session now reads from another group, whose log
+    /// positions are unrelated.
+    pub fn clear_floor(&mut self) {
         self.floor = None;
     }
 
-    /// Decides what a statement that arrived at `now` comes to.
+    /// Processes a statement that arrived at `now`.
     pub fn step(&mut self, statement: &Statement<'_>, now: Moment) -> Step {
         match (self.phase, statement) {
-            (Phase::Rested | Phase::Failed, Statement::Rollback) => self.end(Step::Done),
-            (Phase::Rested | Phase::Failed, Statement::Commit) => {
-                let why = "the transaction had failed and is rolled back";
+            (Phase::TimedOut | Phase::Failed, Statement::Rollback) => self.end(Step::Done),
+            (Phase::TimedOut | Phase::Failed, Statement::Commit) => {
+                let why = "the transaction failed and was rolled back";
                 self.end(Step::Refuse(Refusal::new(Code::Aborted, why)))
             }
-            (Phase::Rested, _) => {
+            (Phase::TimedOut, _) => {
                 self.phase = Phase::Failed;
-                let why = "the transaction rested too long and is rolled back";
+                let why = "the transaction exceeded its idle timeout and was rolled back";
                 Step::Refuse(Refusal::new(Code::Aborted, why))
             }
-            (Phase::Failed, _) => syntax("the transaction has failed; end it first"),
+            (Phase::Failed, _) => syntax("the transaction has failed; roll it back first"),
             (Phase::Idle, Statement::Commit | Statement::Rollback) => {
                 syntax("no transaction is open")
             }
@@ -137,7 +137,7 @@
             (Phase::Idle, Statement::Begin { read_only }) => {
                 self.phase = Phase::Open(Transaction {
                     read_only: *read_only,
-                    begun: now,
+                    started_at: now,
                     wrote: false,
                 });
                 Step::Done
@@ -147,47 +147,47 @@
             (_, Statement::Read) => run(Effect::Read, None),
             (_, Statement::Write) => self.write(None),
             (_, Statement::Set { name, value }) => self.set(name, value),
-            (_, Statement::Prepare { name, shape }) => self.prepare(name, shape),
+            (_, Statement::Prepare { name, definition }) => self.prepare(name, definition),
             (_, Statement::Deallocate { name }) => match self.prepared.remove(*name) {
                 Some(_) => Step::Done,
                 None => self.unknown_name(name),
             },
             (_, Statement::Execute { name, arguments }) => self.execute(name, arguments),
             (_, Statement::Reset) => {
-                self.values = Values::default();
+                self.variables = Variables::default();
                 self.prepared.clear();
                 Step::Done
             }
         }
     }
 
-    /// Notes that a statement of an open transaction failed: the transaction is rolled back.
+    /// Records that a statement failed, by which the open transaction, if any, is rolled back.
     pub fn failed(&mut self) {
         if matches!(self.phase, Phase::Open(_)) {
             self.phase = Phase::Failed;
         }
     }
 
-    /// Notes that the open transaction has rested too long and is rolled back.
-    pub fn rested(&mut self) {
+    /// Records that the open transaction exceeded its idle timeout and was rolled back.
+    pub fn timed_out(&mut self) {
         if matches!(self.phase, Phase::Open(_)) {
-            self.phase = Phase::Rested;
+            self.phase = Phase::TimedOut;
         }
     }
 
-    /// Notes that a write of an open transaction was sent to a server.
+    /// Records that a write of the open transaction was sent to a server.
     pub fn sent_write(&mut self) {
         if let Phase::Open(transaction) = &mut self.phase {
             transaction.wrote = true;
         }
     }
 
-    /// Notes that the open transaction is over.
+    /// Records that the open transaction ended.
     pub fn ended(&mut self) {
         self.phase = Phase::Idle;
     }
 
-    /// Notes an acknowledged commit at `position`.
+    /// Records an acknowledged commit at `position`.
     pub fn committed(&mut self, position: Option<Position>) {
         self.floor = self.floor.max(position);
     }
@@ -202,57 +202,54 @@
         Step::Refuse(refusal)
     }
 
-    fn write(&mut self, named: Option<Named>) -> Step {
+    fn write(&mut self, execution: Option<Execution>) -> Step {
         match self.phase {
             Phase::Open(Transaction {
                 read_only: true, ..
-            }) => self.fail(Refusal::new(
-                Code::Syntax,
-                "the transaction was opened for reading only",
-            )),
-            _ => run(Effect::Write, named),
+            }) => self.fail(Refusal::new(Code::Syntax, "the transaction is read-only")),
+            _ => run(Effect::Write, execution),
         }
     }
 
     fn set(&mut self, name: &str, value: &str) -> Step {
-        if self.values.len() >= MOST_NAMES && !self.values.contains_key(name) {
-            return self.fail(Refusal::new(Code::Syntax, "too many session values"));
+        if self.variables.len() >= MAX_NAMES && !self.variables.contains_key(name) {
+            return self.fail(Refusal::new(Code::Syntax, "too many session variables"));
         }
-        Arc::make_mut(&mut self.values).insert(name.to_owned(), value.to_owned());
+        Arc::make_mut(&mut self.variables).insert(name.to_owned(), value.to_owned());
         Step::Done
     }
 
-    fn prepare(&mut self, name: &str, shape: &Shape) -> Step {
-        if self.prepared.len() >= MOST_NAMES && !self.prepared.contains_key(name) {
+    fn prepare(&mut self, name: &str, definition: &Definition) -> Step {
+        if self.prepared.len() >= MAX_NAMES && !self.prepared.contains_key(name) {
             return self.fail(Refusal::new(Code::Syntax, "too many prepared statements"));
         }
-        self.prepared.insert(name.to_owned(), shape.clone());
+        self.prepared.insert(name.to_owned(), definition.clone());
         Step::Done
     }
 
     fn execute(&mut self, name: &str, arguments: &str) -> Step {
-        let Some(shape) = self.prepared.get(name).cloned() else {
+        let Some(definition) = self.prepared.get(name).cloned() else {
             return self.unknown_name(name);
         };
-        let writes = shape.writes;
-        let named = Some(Named {
-            shape,
+        let writes = definition.writes;
+        let execution = Some(Execution {
+            definition,
             arguments: arguments.to_owned(),
         });
         match writes {
-            true => self.write(named),
-            false => run(Effect::Read, named),
+            true => self.write(execution),
+            false => run(Effect::Read, execution),
         }
     }
 
     fn unknown_name(&mut self, name: &str) -> Step {
-        let why = format!("no statement is prepared as {name}");
+        let why = format!("prepared statement {name} does not exist");
         self.fail(Refusal::new(Code::NoStatement, why))
     }
 }
 
-fn run(effect: Effect, named: Option<Named>) -> Step {
-    Step::Run { effect, named }
+fn run(effect: Effect, execution: Option<Execution>) -> Step {
+    Step::Run { effect, execution }
 }
 
 fn syntax(why: &str) -> Step {
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -13,10 +13,10 @@
     catalog::{Catalog, Service},
     election::Election,
     era,
-    feed::Place,
+    feed::Subscription,
     members::Members,
     mirror::Update,
-    ownership::{self, Asker, Change, Holding, Peer, Room},
+    ownership::{self, Allocation, Change, Limits, Peer, Query},
     registry::{Entry, Registry, Server},
     time::Moment,
 };
@@ -78,7 +78,7 @@
     /// Whether the last source of changes answered.
     pub followed_lately: Cell<bool>,
     /// From whom changes of the store are heard.
-    pub place: RefCell<Place>,
+    pub place: RefCell<Subscription>,
     /// What the store holds, as far as it was heard.
     pub mirror: Handle,
     /// Up to when no change of the store was missed, in milliseconds, as traffic sees it.
@@ -210,7 +210,7 @@
             Subject::Own(key) => match entry::name(key) {
                 Some(name) => {
                     let peer = self.read_peer(name, &item.value);
-                    self.members.borrow_mut().present(name, peer);
+                    self.members.borrow_mut().mark_present(name, peer);
                 }
                 None => self.note_record(item, now),
             },
@@ -227,7 +227,7 @@
             Subject::Own(key) if key == DUTY => self.duty.borrow_mut().note_holder(None),
             Subject::Own(key) => {
                 if let Some(name) = entry::name(key) {
-                    self.members.borrow_mut().missing(name, now);
+                    self.members.borrow_mut().mark_missing(name, now);
                 }
             }
             Subject::Config | Subject::Other => {}
@@ -311,23 +311,23 @@
         (before, change): (&View, &Change<'_>),
     ) -> Ownership {
         let slots = now.servers[name].iter().map(|entry| entry.server.slots);
-        let room = Room {
+        let limits = Limits {
             max_connections: service.max_connections,
             slots: slots.min().unwrap_or(1),
         };
         let dcs: Set<&str> = now.peers.iter().map(|peer| peer.dc.as_str()).collect();
-        let holding = Holding::new(now.members, dcs.len(), room);
-        let asker = Asker {
+        let allocation = Allocation::new(now.members, dcs.len(), limits);
+        let query = Query {
             own: &self.id,
             dc: &self.dc,
             service: name,
         };
         let known = before.ownership.get(name);
-        let plan = match known.filter(|known| known.holding == holding) {
-            Some(known) => ownership::replan(&known.plan, change, &now.peers, asker, holding),
-            None => ownership::plan(&now.peers, &self.id, &self.dc, name, holding),
+        let plan = match known.filter(|known| known.allocation == allocation) {
+            Some(known) => ownership::replan(&known.plan, change, &now.peers, query, allocation),
+            None => ownership::plan(&now.peers, &self.id, &self.dc, name, allocation),
         };
-        Ownership { holding, plan }
+        Ownership { allocation, plan }
     }
 
     fn publish(&self) {
@@ -347,7 +347,8 @@
         let (count, peers) = (members.count(now), members.peers(now));
         let before = self.publish.borrow().clone();
         if before.peers != peers {
-            self.place.replace(Place::new(&peers, &self.id, &self.dc));
+            self.place
+                .replace(Subscription::new(&peers, &self.id, &self.dc));
         }
         let mut view = View {
             catalog,
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -9,7 +9,7 @@
 
 use dandelionpitch_engine::{
     catalog::Route,
-    handover::Terms,
+    forwarding::Requirements,
     refusal::{Code, Refusal},
     session::{self as engine, Phase, Step},
     statement::Statement,
@@ -196,7 +196,7 @@
 
     fn rest_limit(&self) -> Duration {
         let catalog = self.shared.catalog();
-        catalog.map_or(Duration::MAX, |catalog| catalog.transaction_idle)
+        catalog.map_or(Duration::MAX, |catalog| catalog.transaction_idle_timeout)
     }
 
     /// Gives the connection of a resting transaction back to others.
@@ -207,7 +207,7 @@
         if let Some(pinned) = self.pinned.take() {
             pinned.roll_back();
         }
-        self.state.rested();
+        self.state.timed_out();
         journal::write("rested", json!({ "database": self.database }));
     }
 
@@ -272,7 +272,7 @@
         id: &str,
         text: &str,
         statement: &Statement<'_>,
-        terms: Option<Terms>,
+        terms: Option<Requirements>,
         arrived: Moment,
     ) -> Result<Option<Success>, Refusal> {
         match self.origin {
@@ -280,7 +280,7 @@
             Origin::Peer => self.take_terms(terms),
         }
         let step = self.state.step(statement, arrived);
-        let (effect, named) = match step {
+        let (effect, execution) = match step {
             Step::Done => return Ok(None),
             Step::Rollback => {
                 if let Some(pinned) = self.pinned.take() {
@@ -292,7 +292,7 @@
                 self.release_failed();
                 return Err(refusal);
             }
-            Step::Run { effect, named } => (effect, named),
+            Step::Run { effect, execution } => (effect, execution),
         };
         let Some(route) = self.route.clone() else {
             return Err(Refusal::new(Code::NoDatabase, "no route"));
@@ -301,7 +301,7 @@
             id,
             text,
             effect,
-            named: named.as_ref(),
+            execution: execution.as_ref(),
             route: &route,
             arrived,
             isolated: self.shared.isolated.borrow().is_isolated(arrived),
@@ -344,7 +344,7 @@
 
     /// Takes the terms of another proxy's statement in place of a route of the own configuration. A
     /// statement that starts on a resting connection is of any session, whose last commit they name.
-    fn take_terms(&mut self, terms: Option<Terms>) {
+    fn take_terms(&mut self, terms: Option<Requirements>) {
         let Some(terms) = terms else { return };
         if self.state.phase() == Phase::Idle {
             self.state.set_floor(terms.floor);
@@ -363,7 +363,7 @@
         let route = catalog.and_then(|catalog| catalog.routes.get(&self.database).cloned());
         let moved = |old: &Arc<Route>| route.as_ref().is_some_and(|r| r.service != old.service);
         if self.route.as_ref().is_some_and(moved) {
-            self.state.forget_floor();
+            self.state.clear_floor();
         }
         self.route = route;
         match self.route {
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -12,8 +12,8 @@
 };
 
 use dandelionpitch_engine::{
-    ownership::{Holding, Peer, Plan},
-    session::Values,
+    ownership::{Allocation, Peer, Plan},
+    session::Variables,
 };
 use dandelionpitch_proxy::{
     line::{
@@ -78,12 +78,12 @@
 
 /// Peers that own the group, with `near` preferred over `far`.
 fn peers_owning(near: &Peer, far: &[&Peer]) -> Peers {
-    let plan = Plan::HandOver {
-        near: vec![near.id.clone()],
-        far: far.iter().map(|peer| peer.id.clone()).collect(),
+    let plan = Plan::Forward {
+        local: vec![near.id.clone()],
+        fallback: far.iter().map(|peer| peer.id.clone()).collect(),
     };
-    let holding = Holding::Owners { per_dc: 1, dcs: 2 };
-    let ownership = Ownership { holding, plan };
+    let allocation = Allocation::Owners { per_dc: 1, dcs: 2 };
+    let ownership = Ownership { allocation, plan };
     let view = View {
         peers: std::iter::once(near)
             .chain(far.iter().copied())
@@ -273,7 +273,7 @@
         due: deadline,
     };
     let wish = Wish { rank, deadline };
-    let lent = peer.pool.checkout(&Values::default(), wish).await;
+    let lent = peer.pool.checkout(&Variables::default(), wish).await;
     lent.unwrap_or_else(|error| panic!("no connection: {error:?}"))
 }
 
