--- a/crates/core/src/bundle.rs
+++ b/crates/core/src/bundle.rs
@@ -59,20 +59,20 @@
 /// The TOML shape of a bundle, as operators write it.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wire {
+pub struct Document {
     pub version: u64,
     #[serde(default)]
     pub signed_off_by: Vec<String>,
     #[serde(default, rename = "group")]
-    pub groups: Vec<WireGroup>,
+    pub groups: Vec<GroupTable>,
     #[serde(default, rename = "caller")]
-    pub callers: Vec<WireCaller>,
+    pub callers: Vec<CallerTable>,
 }
 
 /// The TOML shape of one group.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct WireGroup {
+pub struct GroupTable {
     pub name: String,
     pub servers: Vec<SocketAddr>,
     #[serde(default = "default_pool_size")]
@@ -84,7 +84,7 @@
 /// The TOML shape of one caller.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct WireCaller {
+pub struct CallerTable {
     pub user: String,
     pub group: String,
     #[serde(default, with = "humantime_serde")]
@@ -108,7 +108,7 @@
 impl Bundle {
     /// Parses and checks a bundle from TOML text.
     pub fn parse(text: &str) -> Result<Self, Error> {
-        let wire: Wire = toml::from_str(text)?;
+        let wire: Document = toml::from_str(text)?;
         Self::try_from(wire)
     }
 
@@ -118,10 +118,10 @@
     }
 }
 
-impl TryFrom<Wire> for Bundle {
+impl TryFrom<Document> for Bundle {
     type Error = Error;
 
-    fn try_from(wire: Wire) -> Result<Self, Self::Error> {
+    fn try_from(wire: Document) -> Result<Self, Self::Error> {
         if wire.version == 0 {
             return Err(rule("version: must be 1 or higher"));
         }
@@ -154,10 +154,10 @@
     }
 }
 
-impl TryFrom<WireGroup> for Group {
+impl TryFrom<GroupTable> for Group {
     type Error = Error;
 
-    fn try_from(wire: WireGroup) -> Result<Self, Self::Error> {
+    fn try_from(wire: GroupTable) -> Result<Self, Self::Error> {
         if wire.name.is_empty() {
             return Err(rule("group.name: must not be empty"));
         }
@@ -184,10 +184,10 @@
     }
 }
 
-impl TryFrom<WireCaller> for Caller {
+impl TryFrom<CallerTable> for Caller {
     type Error = Error;
 
-    fn try_from(wire: WireCaller) -> Result<Self, Self::Error> {
+    fn try_from(wire: CallerTable) -> Result<Self, Self::Error> {
         if wire.timeout.is_zero() {
             let text = format!("caller {:?}: timeout: must be above zero", wire.user);
             return Err(rule(text));
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -10,7 +10,7 @@
 pub type Set<T> = rustc_hash::FxHashSet<T>;
 
 /// A number spread over all 64 bits, the same each time and in each process for the same key.
-pub fn salt(key: &impl Hash) -> u64 {
+pub fn stable_hash(key: &impl Hash) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     key.hash(&mut hasher);
     mix(hasher.finish())
@@ -29,6 +29,6 @@
 }
 
 /// A number from zero up to one, the same each time for the same key.
-pub fn share(key: &impl Hash) -> f64 {
-    (salt(key) >> 32) as f64 / f64::from(u32::MAX)
+pub fn stable_fraction(key: &impl Hash) -> f64 {
+    (stable_hash(key) >> 32) as f64 / f64::from(u32::MAX)
 }
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -16,7 +16,7 @@
 }
 
 /// The data centre and the id in a heartbeat record's key; `None` for any other key.
-pub fn proxy_parts(key: &str) -> Option<(&str, &str)> {
+pub fn parse_proxy_key(key: &str) -> Option<(&str, &str)> {
     key.strip_prefix(PROXY_PREFIX)?.split_once('/')
 }
 
--- a/crates/core/src/kv.rs
+++ b/crates/core/src/kv.rs
@@ -31,7 +31,7 @@
 pub const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The header that says how often the KV has come back from a copy.
-pub const ERA: &str = "Store-Era";
+pub const ERA_HEADER: &str = "Store-Era";
 
 /// A handle on the platform KV at one endpoint (`http://host:port`).
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
         revision: u64,
     },
     /// The key had moved on; nothing was written.
-    Moved,
+    Conflict,
 }
 
 impl Client {
@@ -83,7 +83,7 @@
 
     /// The era of an answer; one of an earlier era than an answer before it has come late.
     fn era_of(&self, answer: &reqwest::Response) -> Result<u64, Error> {
-        let said = answer.headers().get(ERA);
+        let said = answer.headers().get(ERA_HEADER);
         let said = said.and_then(|era| era.to_str().ok()?.trim().parse().ok());
         // A KV that never came back from a copy may leave the header out.
         let era = said.unwrap_or_default();
@@ -139,9 +139,14 @@
 
     /// Writes `value` under `key` only if the key's last write was at `mod_revision`; zero
     /// means the key must not exist yet.
-    pub async fn swap(&self, key: &str, value: &[u8], mod_revision: u64) -> Result<Swap, Error> {
+    pub async fn compare_and_swap(
+        &self,
+        key: &str,
+        value: &[u8],
+        mod_revision: u64,
+    ) -> Result<Swap, Error> {
         if !self.is_current(mod_revision) {
-            return Ok(Swap::Moved);
+            return Ok(Swap::Conflict);
         }
         let before = self.era();
         let request = wire::TxnRequest::put_if(key, value, era::revision(mod_revision));
@@ -152,7 +157,7 @@
             true => Swap::Done {
                 revision: era::stamp(era, answer.header.revision),
             },
-            false => Swap::Moved,
+            false => Swap::Conflict,
         })
     }
 
--- a/crates/core/tests/hash.rs
+++ b/crates/core/tests/hash.rs
@@ -1,14 +1,14 @@
 //! Numbers that every process derives alike from the same key.
 
-use dandelionpitch_core::hash::salt;
+use dandelionpitch_core::hash::stable_hash;
 
 /// Forty proxies choose among two, each by its own order. Their names differ in the last characters only;
 /// neither of the two may get nearly all of them.
 #[test]
 fn order_by_salt_differs_from_proxy_to_proxy() {
     let prefers_first = |own: &String| {
-        let first = salt(&(own, "edge-riga-centrs-12"));
-        let second = salt(&(own, "edge-riga-centrs-31"));
+        let first = stable_hash(&(own, "edge-riga-centrs-12"));
+        let second = stable_hash(&(own, "edge-riga-centrs-31"));
         first < second
     };
     let names = (0..40).map(|n| format!("edge-riga-centrs-{n}"));
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -80,9 +80,12 @@
             bundle.version
         ));
     }
-    match kv.swap(keys::BUNDLE, text.as_bytes(), revision).await {
+    match kv
+        .compare_and_swap(keys::BUNDLE, text.as_bytes(), revision)
+        .await
+    {
         Ok(Swap::Done { .. }) => Ok(format!("version {} is in the KV", bundle.version)),
-        Ok(Swap::Moved) => {
+        Ok(Swap::Conflict) => {
             Err("refused: another bundle was put meanwhile; check it and try again".to_owned())
         }
         Err(error) => match kv.get(keys::BUNDLE).await {
--- a/crates/engine/src/delta.rs
+++ b/crates/engine/src/delta.rs
@@ -35,7 +35,7 @@
     pub fn new(of: u64, old: &[u8], new: &[u8]) -> Self {
         Self {
             of,
-            check: hash::salt(&new),
+            check: hash::stable_hash(&new),
             pieces: diff(old, new),
         }
     }
@@ -44,7 +44,7 @@
     /// was made of.
     pub fn apply(&self, at: u64, old: &[u8]) -> Option<Vec<u8>> {
         let value = apply(old, &self.pieces).filter(|_| at == self.of)?;
-        (hash::salt(&value.as_slice()) == self.check).then_some(value)
+        (hash::stable_hash(&value.as_slice()) == self.check).then_some(value)
     }
 }
 
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -48,7 +48,7 @@
 /// often as they have followers.
 pub fn feeders<'a>(peers: &'a [Peer], dc: &str) -> Vec<&'a Peer> {
     let mut near: Vec<&Peer> = peers.iter().filter(|peer| peer.dc == dc).collect();
-    near.sort_by_cached_key(|peer| (Reverse(peer.capacity as u64), hash::salt(&peer.id)));
+    near.sort_by_cached_key(|peer| (Reverse(peer.capacity as u64), hash::stable_hash(&peer.id)));
     near.truncate(FEEDERS);
     near
 }
@@ -93,7 +93,7 @@
 
 /// Spreads the followers over their feeders.
 fn ordered(mut peers: Vec<&Peer>, own: &str) -> Vec<Source> {
-    peers.sort_by_cached_key(|peer| hash::salt(&(own, &peer.id)));
+    peers.sort_by_cached_key(|peer| hash::stable_hash(&(own, &peer.id)));
     let sources = peers.into_iter().map(|peer| Source::Peer(peer.id.clone()));
     sources.collect()
 }
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -228,7 +228,7 @@
 
 /// A proxy's rank for a group: higher is earlier.
 fn score(peer: &Peer, service: &str) -> f64 {
-    let share = hash::share(&(service, &peer.id)).clamp(1e-9, 1.0 - 1e-9);
+    let share = hash::stable_fraction(&(service, &peer.id)).clamp(1e-9, 1.0 - 1e-9);
     -peer.capacity / share.ln()
 }
 
--- a/crates/engine/tests/interleavings/cluster.rs
+++ b/crates/engine/tests/interleavings/cluster.rs
@@ -63,7 +63,7 @@
 impl Cluster {
     /// Has the proxy that tells others of the store hear from it, at times that differ from case to case.
     pub fn feed(&mut self) {
-        let spread = hash::salt(&(self.now / FEED_EVERY, self.store.revision)) % FEED_EVERY;
+        let spread = hash::stable_hash(&(self.now / FEED_EVERY, self.store.revision)) % FEED_EVERY;
         if self.now % FEED_EVERY == spread {
             self.fed = (self.now, self.store.clone());
         }
--- a/crates/engine/tests/interleavings/follower.rs
+++ b/crates/engine/tests/interleavings/follower.rs
@@ -87,7 +87,7 @@
     fn hear(&self, cluster: &Cluster) -> Option<(u64, Store)> {
         let (heard, store) = &cluster.fed;
         let fresh = cluster.now - heard <= steps(FRESH_ENOUGH) && *heard >= self.followed;
-        let asks_peer = hash::salt(&(cluster.now, self.node)).is_multiple_of(2);
+        let asks_peer = hash::stable_hash(&(cluster.now, self.node)).is_multiple_of(2);
         match asks_peer && fresh {
             true => Some((*heard, store.clone())),
             false => cluster
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -110,7 +110,7 @@
 ) {
     let kv = kv::Client::new(&config.kv);
     let (out, mut messages) = mpsc::channel(QUEUE);
-    let salt = backoff::salt(&config.id);
+    let salt = backoff::stable_hash(&config.id);
     tokio::spawn(follow::run(kv.clone(), salt, out.clone()));
     if let Some(url) = &config.vms {
         tokio::spawn(vms::run(url.clone(), out.clone()));
--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-pub use dandelionpitch_core::hash::{salt, share};
+pub use dandelionpitch_core::hash::{stable_fraction, stable_hash};
 
 /// The pauses after successive failures: each twice the last, up to a limit, less a part that
 /// depends on the salt and the count, so that proxies that failed together do not try together.
@@ -40,6 +40,6 @@
         let doubled = self.first.saturating_mul(1 << self.failures.min(16));
         let most = doubled.min(self.longest);
         self.failures = self.failures.saturating_add(1);
-        most - most.mul_f64(share(&(self.salt, self.failures)) / 2.0)
+        most - most.mul_f64(stable_fraction(&(self.salt, self.failures)) / 2.0)
     }
 }
--- a/crates/proxy/src/control/duty.rs
+++ b/crates/proxy/src/control/duty.rs
@@ -86,7 +86,7 @@
         self.missing.remove(&member);
         let dc = self.dcs.entry(member.dc.clone()).or_default();
         if dc.iter().all(|entry| entry.member != member) {
-            let seed = backoff::salt(&member);
+            let seed = backoff::stable_hash(&member);
             dc.push(Entry { member, seed });
             self.count += 1;
         }
@@ -105,7 +105,7 @@
     /// The watchers of `group`: first the best of each data centre, so that the loss of one
     /// leaves the others, then the second best, and so on.
     pub fn watchers(&self, group: &str) -> Vec<&Member> {
-        let seed = backoff::salt(&group);
+        let seed = backoff::stable_hash(&group);
         let best = self.dcs.values().map(|dc| best(dc, seed));
         let mut ranked: Vec<(usize, Reverse<u64>, &Member)> = best
             .flat_map(|best| best.into_iter().enumerate())
@@ -129,7 +129,7 @@
 fn best(dc: &[Entry], seed: u64) -> Vec<(u64, &Entry)> {
     let mut best: Vec<(u64, &Entry)> = Vec::with_capacity(WATCHERS + 1);
     for entry in dc {
-        let weight = backoff::salt(&(seed, entry.seed));
+        let weight = backoff::stable_hash(&(seed, entry.seed));
         if best.len() == WATCHERS && best[WATCHERS - 1].0 >= weight {
             continue;
         }
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -182,7 +182,7 @@
     }
 
     fn remember(&mut self, group: &str, now: Instant) -> &mut Memory {
-        let salt = backoff::salt(&self.config.id);
+        let salt = backoff::stable_hash(&self.config.id);
         self.groups
             .entry(group.to_owned())
             .or_insert_with(|| Memory {
@@ -200,7 +200,7 @@
     /// A record in which a server that counts is `missing` is written at once: until then a proxy
     /// that starts cannot know of that server once it is taken out of the list.
     fn wait(&self, group: &str, verdict: Verdict, missing: bool) -> Duration {
-        let share = backoff::share(&(&self.config.id, group));
+        let share = backoff::stable_fraction(&(&self.config.id, group));
         let spread = self.config.failover.spread.mul_f64(share);
         match verdict {
             Verdict::Led | Verdict::Unsure | Verdict::Failed | Verdict::Leaving => spread,
@@ -302,9 +302,13 @@
     /// record is read back, and only one equal to ours, which names this proxy, is a success.
     async fn write(&self, record: Record, revision: u64) -> Result<u64, Error> {
         let key = keys::primary(&self.group);
-        let failure = match self.kv.swap(&key, &record.to_value(), revision).await {
+        let failure = match self
+            .kv
+            .compare_and_swap(&key, &record.to_value(), revision)
+            .await
+        {
             Ok(Swap::Done { revision }) => return Ok(revision),
-            Ok(Swap::Moved) => return Err(Error::Moved),
+            Ok(Swap::Conflict) => return Err(Error::Moved),
             Err(error) => error,
         };
         match self.kv.get(&key).await? {
--- a/crates/proxy/src/control/follow.rs
+++ b/crates/proxy/src/control/follow.rs
@@ -91,7 +91,7 @@
 
 /// The proxy a heartbeat record's key names.
 fn member(key: &str) -> Option<Member> {
-    let (dc, id) = keys::proxy_parts(key)?;
+    let (dc, id) = keys::parse_proxy_key(key)?;
     Some(Member {
         dc: dc.to_owned(),
         id: id.to_owned(),
--- a/crates/proxy/src/line/control/duty.rs
+++ b/crates/proxy/src/line/control/duty.rs
@@ -91,7 +91,7 @@
         None if control.duty.borrow().may_claim(clock::now())
             && !control.stopping.is_cancelled() =>
         {
-            let share = backoff::share(&(&control.name, clock::now().millis()));
+            let share = backoff::stable_fraction(&(&control.name, clock::now().millis()));
             let age = clock::now().since(control.started);
             let feeds = control.place.borrow().feeds;
             tokio::time::sleep(SPREAD.mul_f64(share) + claim_after(age, feeds)).await;
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -74,7 +74,7 @@
 
 impl Follower {
     fn new(control: Rc<Control>) -> Self {
-        let salt = backoff::salt(&control.id);
+        let salt = backoff::stable_hash(&control.id);
         Self {
             control,
             backoff: Backoff::new(RETRY.0, RETRY.1, salt),
--- a/crates/proxy/src/line/control/member.rs
+++ b/crates/proxy/src/line/control/member.rs
@@ -30,7 +30,7 @@
 /// Keeps the entry until the process stops.
 pub async fn run(control: Rc<Control>) {
     let mut lease = None;
-    let mut backoff = Backoff::new(RETRY.0, RETRY.1, backoff::salt(&control.name));
+    let mut backoff = Backoff::new(RETRY.0, RETRY.1, backoff::stable_hash(&control.name));
     while !control.stopping.is_cancelled() {
         let pause = match renew(&control, &mut lease).await {
             Ok(()) => {
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-use dandelionpitch_core::kv::ERA;
+use dandelionpitch_core::kv::ERA_HEADER;
 use rocket::tokio::{self, sync::oneshot};
 use serde::{Deserialize, Serialize};
 
@@ -108,7 +108,7 @@
                 Box::pin(async move {
                     if let Some(state) = request.rocket().state::<State>() {
                         let era = state.store.lock().unwrap().era();
-                        response.set_raw_header(ERA, era.to_string());
+                        response.set_raw_header(ERA_HEADER, era.to_string());
                     }
                 })
             },
