--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -21,7 +21,7 @@
     time::Moment,
 };
 use dandelionpitch_platform::{
-    backend::{Order, CONNECT_TIMEOUT},
+    backend::{Command, CONNECT_TIMEOUT},
     Error,
 };
 
@@ -275,7 +275,7 @@
             let Ok(mut checkout) = lent.await else {
                 return Err(Error::Timeout);
             };
-            let status = checkout.connection().link.status(Order::Status).await;
+            let status = checkout.connection().link.status(Command::Status).await;
             match status {
                 // A refusal is a whole answer, so the connection is at rest.
                 Ok(_) | Err(Error::Refused(_)) => checkout.release(),
--- a/crates/proxy/src/line/backend/connection.rs
+++ b/crates/proxy/src/line/backend/connection.rs
@@ -72,7 +72,7 @@
     connection.unclear = true;
     connection.link.send(&queries).await?;
     for _ in &queries {
-        connection.link.answer().await?.result?;
+        connection.link.read_answer().await?.result?;
     }
     connection.values = wanted.clone();
     connection.unclear = false;
@@ -100,7 +100,7 @@
             text,
             condition,
         };
-        return connection.link.ask(query).await;
+        return connection.link.query(query).await;
     };
     let known = connection.names.get(shape).cloned();
     let name = match &known {
@@ -114,12 +114,12 @@
         condition,
     };
     if known.is_some() {
-        return connection.link.ask(run).await;
+        return connection.link.query(run).await;
     }
     let prepare = Query::Prepare { name: &name, shape };
     connection.link.send(&[prepare, run]).await?;
-    let prepared = connection.link.answer().await?;
-    let answer = connection.link.answer().await?;
+    let prepared = connection.link.read_answer().await?;
+    let answer = connection.link.read_answer().await?;
     if prepared.result.is_ok() {
         connection.names.insert(shape.clone(), name);
     }
--- a/crates/proxy/src/line/backend/pool.rs
+++ b/crates/proxy/src/line/backend/pool.rs
@@ -224,7 +224,7 @@
             let Some((index, _)) = easiest else { break };
             let connection = state.idle.remove(index);
             state.unused = state.unused.min(state.idle.len());
-            if connection.link.at_rest() {
+            if connection.link.is_idle() {
                 return Some(Box::new(connection));
             }
             state.open -= 1;
@@ -247,7 +247,7 @@
         }
         let server = &self.server;
         let (address, id) = (server.address, server.id());
-        let open = Link::open_within(self.accepts_within, address, &server.service, id);
+        let open = Link::open_with_timeout(self.accepts_within, address, &server.service, id);
         let limit = OPEN_TIMEOUT.min(left);
         let (miss, why, pause) = match tokio::time::timeout(limit, open).await {
             Ok(Ok(link)) => {
--- a/crates/proxy/src/line/control/attempt.rs
+++ b/crates/proxy/src/line/control/attempt.rs
@@ -10,7 +10,7 @@
     roster::Roster,
     takeover::{Cause, Member, Sight, Status},
 };
-use dandelionpitch_platform::{backend::Order, promoter::Outcome, Error};
+use dandelionpitch_platform::{backend::Command, promoter::Outcome, Error};
 use futures::{stream::FuturesUnordered, StreamExt};
 use serde_json::json;
 
@@ -166,7 +166,7 @@
         let ask = |watcher: &Rc<Watcher>| {
             let watcher = watcher.clone();
             async move {
-                let answer = watcher.order(Order::Status, RECHECK_TIMEOUT).await;
+                let answer = watcher.order(Command::Status, RECHECK_TIMEOUT).await;
                 let again = answer.map_or(Again::Silent, Again::Answered);
                 (watcher.server.incarnation.clone(), again)
             }
@@ -196,8 +196,8 @@
             .zip(&self.watchers)
             .map(|(member, watcher)| {
                 let order = match Some(&member.id) == self.old.as_ref() {
-                    true => Order::StepDown(term),
-                    false => Order::Hold(term),
+                    true => Command::StepDown(term),
+                    false => Command::Pause(term),
                 };
                 async move { (member, obey(watcher, order).await) }
             });
@@ -246,7 +246,7 @@
     async fn depose(&self, old: Option<Rc<Watcher>>) {
         let Some(old) = old else { return };
         let term = self.newest + 1;
-        if let Err(error) = obey(&old, Order::StepDown(term)).await {
+        if let Err(error) = obey(&old, Command::StepDown(term)).await {
             let server = &old.server.incarnation;
             journal::trouble("step down", &format!("{server}: {error}"));
         }
@@ -264,7 +264,7 @@
             .watchers
             .iter()
             .filter(held)
-            .map(|watcher| watcher.order(Order::Resume, ORDER_TIMEOUT));
+            .map(|watcher| watcher.order(Command::Resume, ORDER_TIMEOUT));
         for answer in futures::future::join_all(orders).await {
             if let Err(error) = answer {
                 journal::trouble("resume", &error.to_string());
@@ -351,7 +351,7 @@
 }
 
 /// Gives an order until the server carries it out, or for as long as an order may take.
-async fn obey(watcher: &Rc<Watcher>, order: Order) -> Result<Status, Error> {
+async fn obey(watcher: &Rc<Watcher>, order: Command) -> Result<Status, Error> {
     let until = clock::now() + ORDER_TIMEOUT;
     loop {
         let left = clock::now().until(until);
--- a/crates/proxy/src/line/control/duty.rs
+++ b/crates/proxy/src/line/control/duty.rs
@@ -137,7 +137,7 @@
     };
     let token = match store.change(&[(DUTY, 0)], &[write], &[]).await {
         Ok(Change::Done { revision }) => Some(revision),
-        Ok(Change::Conflict | Change::LeaseGone) => None,
+        Ok(Change::Conflict | Change::LeaseNotFound) => None,
         Err(_) => {
             let found = store.get(DUTY).await?;
             let own = found.filter(|item| item.value.as_slice() == control.name.as_bytes());
--- a/crates/proxy/src/line/control/failover.rs
+++ b/crates/proxy/src/line/control/failover.rs
@@ -10,7 +10,7 @@
     takeover::{self, Member, Memory, Sight, Status, Verdict, TURN_GAP},
     time::Moment,
 };
-use dandelionpitch_platform::backend::Order;
+use dandelionpitch_platform::backend::Command;
 
 use crate::line::{
     clock,
@@ -271,7 +271,7 @@
 fn resume_held(members: &[Member], watchers: &[Rc<Watcher>]) {
     for (member, watcher) in members.iter().zip(watchers) {
         if matches!(member.sight, Sight::Answered(status) if status.held != 0) {
-            watcher.order.set(Some(Order::Resume));
+            watcher.order.set(Some(Command::Resume));
         }
     }
 }
@@ -282,7 +282,7 @@
     for (member, watcher) in members.iter().zip(watchers) {
         let superseded = |status: Status| status.role == Role::Primary && status.term < newest;
         if matches!(member.sight, Sight::Answered(status) if superseded(status)) {
-            watcher.order.set(Some(Order::StepDown(newest)));
+            watcher.order.set(Some(Command::StepDown(newest)));
         }
     }
 }
--- a/crates/proxy/src/line/control/feeder.rs
+++ b/crates/proxy/src/line/control/feeder.rs
@@ -4,7 +4,7 @@
 
 use dandelionpitch_platform::{
     backend::{Link, Query},
-    feed::{self, Answer, Question},
+    feed::{self, Request, Response},
     Error,
 };
 
@@ -36,7 +36,7 @@
     }
 
     /// Asks it; after an error the connection is not used again.
-    pub async fn ask(&mut self, mirror: &Handle, question: Question) -> Result<Answer, Error> {
+    pub async fn ask(&mut self, mirror: &Handle, question: Request) -> Result<Response, Error> {
         let limit = question.wait + SLACK;
         match tokio::time::timeout(limit, self.exchange(mirror, question)).await {
             Ok(answer) => answer,
@@ -44,13 +44,13 @@
         }
     }
 
-    async fn exchange(&mut self, mirror: &Handle, question: Question) -> Result<Answer, Error> {
+    async fn exchange(&mut self, mirror: &Handle, question: Request) -> Result<Response, Error> {
         let mut link = match self.link.take() {
             Some(link) => link,
-            None => Link::open(self.address, feed::NAME, &self.id).await?,
+            None => Link::open(self.address, feed::SERVICE, &self.id).await?,
         };
-        let answer = link.ask(Query::Follow(question)).await?;
+        let answer = link.query(Query::Follow(question)).await?;
         self.link = Some(link);
-        Answer::read(&answer.result?.rows, |key| mirror.present(key))
+        Response::read(&answer.result?.rows, |key| mirror.present(key))
     }
 }
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -12,8 +12,8 @@
     time::Moment,
 };
 use dandelionpitch_platform::{
-    feed::Question,
-    store::{Value, Watched},
+    feed::Request,
+    store::{Value, WatchResult},
     Error,
 };
 use serde_json::json;
@@ -122,7 +122,7 @@
         let asked = clock::now();
         let (after, wait) = (self.control.mirror.revision(), self.wait());
         let watched = self.control.store().watch(EVERYTHING, after, wait).await?;
-        let Watched::Changes { events, next } = watched else {
+        let WatchResult::Changes { events, next } = watched else {
             self.anew = true;
             return Ok(true);
         };
@@ -144,7 +144,7 @@
         let after = self.control.mirror.revision();
         let asked = clock::now();
         let answer = feeder
-            .ask(&self.control.mirror, Question { after, wait })
+            .ask(&self.control.mirror, Request { after, wait })
             .await?;
         self.feeder = Some(feeder);
         let known = feed::known_until(asked, answer.waited, answer.age);
--- a/crates/proxy/src/line/control/observe.rs
+++ b/crates/proxy/src/line/control/observe.rs
@@ -16,7 +16,7 @@
     time::Moment,
 };
 use dandelionpitch_platform::{
-    backend::{Link, Order},
+    backend::{Command, Link},
     Error,
 };
 
@@ -56,7 +56,7 @@
     /// It is being told to receive again.
     resuming: Cell<bool>,
     /// What it is to be told when it is next asked.
-    pub order: Cell<Option<Order>>,
+    pub order: Cell<Option<Command>>,
 }
 
 impl Watcher {
@@ -113,20 +113,20 @@
     /// attempt holds them: they are let go in the middle of it. Guard: an attempt begins only when no
     /// such order is left.
     pub fn cancel_resume(&self) -> bool {
-        if self.order.get() == Some(Order::Resume) {
+        if self.order.get() == Some(Command::Resume) {
             self.order.set(None);
         }
         !self.resuming.get()
     }
 
     async fn ask(&self, asked: Moment) {
-        let order = self.order.take().unwrap_or(Order::Status);
-        self.resuming.set(order == Order::Resume);
+        let order = self.order.take().unwrap_or(Command::Status);
+        self.resuming.set(order == Command::Resume);
         self.ask_with(order, asked).await;
         self.resuming.set(false);
     }
 
-    async fn ask_with(&self, order: Order, asked: Moment) {
+    async fn ask_with(&self, order: Command, asked: Moment) {
         let answer = self.order(order, ASK_TIMEOUT);
         let reached = async {
             tokio::time::sleep(LOOK_AFTER).await;
@@ -174,16 +174,16 @@
 
     /// Gives the server an order and returns how it stands after it, if it is still the life that is
     /// watched.
-    pub async fn order(&self, order: Order, limit: Duration) -> Result<Status, Error> {
+    pub async fn order(&self, order: Command, limit: Duration) -> Result<Status, Error> {
         let asked = clock::now();
         let status = self.give(order, limit).await?;
         life::admit(&self.life, &self.server.incarnation, status, asked)
     }
 
-    async fn give(&self, order: Order, limit: Duration) -> Result<Status, Error> {
+    async fn give(&self, order: Command, limit: Duration) -> Result<Status, Error> {
         let link = self.link.borrow_mut().take();
         let give = async {
-            let mut link = match link.filter(Link::at_rest) {
+            let mut link = match link.filter(Link::is_idle) {
                 Some(link) => link,
                 None => {
                     let server = &self.server;
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -48,7 +48,7 @@
             );
             Ok(revision)
         }
-        Ok(Change::Conflict | Change::LeaseGone) => Err(Stopped::Conflict),
+        Ok(Change::Conflict | Change::LeaseNotFound) => Err(Stopped::Conflict),
         Err(error) => Err(Stopped::Store(error.to_string())),
     }
 }
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -148,7 +148,7 @@
             match store::subject(&item.key) {
                 Subject::Config => self.configure(&item.value),
                 Subject::Server(id) => servers.extend(self.read_server(id, &item.value)),
-                Subject::Own(key) => {
+                Subject::Proxy(key) => {
                     if key == DUTY {
                         let name = String::from_utf8_lossy(&item.value).into_owned();
                         holder = Some((name, item.revision));
@@ -201,11 +201,11 @@
                     );
                 }
             }
-            Subject::Own(key) if key == DUTY => {
+            Subject::Proxy(key) if key == DUTY => {
                 let name = String::from_utf8_lossy(&item.value);
                 self.duty.borrow_mut().seen(Some((&name, item.revision)));
             }
-            Subject::Own(key) => match entry::name(key) {
+            Subject::Proxy(key) => match entry::name(key) {
                 Some(name) => {
                     let peer = self.read_peer(name, &item.value);
                     self.members.borrow_mut().present(name, peer);
@@ -222,8 +222,8 @@
                 journal::write("server", json!({ "id": id, "missing": true }));
                 self.registry.borrow_mut().missing(id, now);
             }
-            Subject::Own(key) if key == DUTY => self.duty.borrow_mut().seen(None),
-            Subject::Own(key) => {
+            Subject::Proxy(key) if key == DUTY => self.duty.borrow_mut().seen(None),
+            Subject::Proxy(key) => {
                 if let Some(name) = entry::name(key) {
                     self.members.borrow_mut().missing(name, now);
                 }
--- a/crates/proxy/src/line/mirror.rs
+++ b/crates/proxy/src/line/mirror.rs
@@ -16,7 +16,7 @@
     time::Moment,
 };
 use dandelionpitch_platform::{
-    feed::{Answer, Question, Version},
+    feed::{Request, Response, Version},
     store::Value,
 };
 use serde::Serialize;
@@ -132,7 +132,7 @@
     }
 
     /// Answers a question, as soon as there is something new; `None` if this process has nothing to go by.
-    pub async fn answer(&self, question: Question) -> Option<Answer> {
+    pub async fn answer(&self, question: Request) -> Option<Response> {
         let asked = clock::now();
         let mut changed = self.changed.subscribe();
         loop {
@@ -147,7 +147,7 @@
     }
 
     /// What there is to tell at this moment; nothing yet if nothing is new and some time is `left`.
-    fn now(&self, after: u64, waited: Duration, left: Duration) -> Option<Option<Answer>> {
+    fn now(&self, after: u64, waited: Duration, left: Duration) -> Option<Option<Response>> {
         let content = self.lock();
         let age = clock::now().since(content.known_until);
         if content.source.is_none() || age > FRESH_ENOUGH {
@@ -157,7 +157,7 @@
             return Some(None);
         }
         let update = content.mirror.after(after);
-        Some(Some(Answer {
+        Some(Some(Response {
             update,
             waited,
             age,
--- a/crates/proxy/src/line/peers.rs
+++ b/crates/proxy/src/line/peers.rs
@@ -159,7 +159,7 @@
 fn backend(peer: &Peer, metrics: &Metrics) -> Rc<Backend> {
     let server = Server {
         incarnation: Incarnation::from(peer.id.as_str()),
-        service: peer::NAME.to_owned(),
+        service: peer::SERVICE.to_owned(),
         address: peer.address,
         dc: peer.dc.clone(),
         slots: u32::MAX,
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -116,8 +116,8 @@
     condition: Condition<'_>,
 ) -> (Result<Answer, String>, Option<Checkout>) {
     let part = match condition {
-        Condition::Terms(_) => PEER_PATIENCE,
-        Condition::Nothing | Condition::After(_) => LEAST_PATIENCE,
+        Condition::Forwarded(_) => PEER_PATIENCE,
+        Condition::Always | Condition::After(_) => LEAST_PATIENCE,
     };
     let least = call.route.timeout.mul_f64(part);
     let patience = (backend.latency() * PATIENCE).max(least).min(call.left());
--- a/crates/proxy/src/line/traffic/feed.rs
+++ b/crates/proxy/src/line/traffic/feed.rs
@@ -2,8 +2,8 @@
 
 use dandelionpitch_engine::refusal::{Code, Refusal};
 use dandelionpitch_platform::{
-    caller::{self, Stand},
-    feed::Question,
+    caller::{self, Ready},
+    feed::Request,
     line, Error,
 };
 
@@ -14,28 +14,28 @@
 const LONGEST: usize = 64 * 1024;
 
 /// Appends the answer to a question for changes, to a connection that stands at `stand`.
-pub async fn answer(mirror: &Handle, message: &[u8], stand: Stand, out: &mut Vec<u8>) {
+pub async fn answer(mirror: &Handle, message: &[u8], stand: Ready, out: &mut Vec<u8>) {
     let start = out.len();
-    let told = match line::text(message).and_then(Question::read) {
+    let told = match line::to_str(message).and_then(Request::read) {
         Ok(question) => tell(mirror, question, out).await,
         Err(error) => Err(error),
     };
     match told {
-        Ok(true) if out.len() - start <= LONGEST => caller::done(out, stand),
+        Ok(true) if out.len() - start <= LONGEST => caller::write_done(out, stand),
         Ok(_) => {
             out.truncate(start);
-            caller::refused(out, &nothing_known(), stand);
+            caller::write_refusal(out, &nothing_known(), stand);
         }
         Err(error) => {
             out.truncate(start);
             journal::trouble("feed", &error.to_string());
-            caller::refused(out, &nothing_known(), stand);
+            caller::write_refusal(out, &nothing_known(), stand);
         }
     }
 }
 
 /// Appends the rows of an answer; `false` if there is none.
-async fn tell(mirror: &Handle, question: Question, out: &mut Vec<u8>) -> Result<bool, Error> {
+async fn tell(mirror: &Handle, question: Request, out: &mut Vec<u8>) -> Result<bool, Error> {
     let Some(answer) = mirror.answer(question).await else {
         return Ok(false);
     };
--- a/crates/proxy/src/line/traffic/handover.rs
+++ b/crates/proxy/src/line/traffic/handover.rs
@@ -83,7 +83,7 @@
     shared.metrics.handed_over();
     let terms = Terms::new(call.route, call.waited(), session.floor());
     let asked = clock::now();
-    let (answer, checkout) = exchange(checkout, peer, call, Condition::Terms(&terms)).await;
+    let (answer, checkout) = exchange(checkout, peer, call, Condition::Forwarded(&terms)).await;
     let answer = answer.map_err(|why| {
         note_refused(&shared.metrics, peer, call, &why);
         shared.peers.lose(peer);
@@ -143,7 +143,7 @@
     }
     let wrote = transaction.wrote || call.effect == Effect::Write;
     let terms = Terms::new(call.route, call.waited(), session.floor());
-    let (answer, checkout) = exchange(checkout, &backend, call, Condition::Terms(&terms)).await;
+    let (answer, checkout) = exchange(checkout, &backend, call, Condition::Forwarded(&terms)).await;
     let (answer, checkout) = match (answer, checkout) {
         (Ok(answer), Some(checkout)) => (answer, checkout),
         (answer, _) => {
@@ -210,9 +210,9 @@
         let terms = Terms::new(call.route, call.waited(), session.floor());
         let begin = Query::Begin {
             read_only: transaction.read_only,
-            condition: Condition::Terms(&terms),
+            condition: Condition::Forwarded(&terms),
         };
-        let ask = checkout.connection().link.ask(begin);
+        let ask = checkout.connection().link.query(begin);
         let why = match tokio::time::timeout(PEER_ANSWERS.min(call.left()), ask).await {
             Ok(Ok(answer)) if answer.result.is_ok() && answer.state == State::Open => {
                 return Some(Pinned {
--- a/crates/proxy/src/line/traffic/run.rs
+++ b/crates/proxy/src/line/traffic/run.rs
@@ -181,7 +181,7 @@
 ) -> Result<Success, Failure> {
     let checkout = checkout(group, backend, session, call).await?;
     let asked = clock::now();
-    let condition = after.map_or(Condition::Nothing, Condition::After);
+    let condition = after.map_or(Condition::Always, Condition::After);
     let (answer, checkout) = exchange(checkout, backend, call, condition).await;
     let answer = match answer {
         Ok(answer) => answer,
@@ -267,7 +267,7 @@
             Err(Failure::Lost(why)) => return Err(Refusal::new(Code::Unknown, why)),
         };
         let asked = clock::now();
-        let sent = exchange(checkout, backend, call, Condition::Nothing);
+        let sent = exchange(checkout, backend, call, Condition::Always);
         let (answer, checkout) = doubting(group, backend, sent).await;
         let answer = match answer {
             Ok(answer) => answer,
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -16,7 +16,7 @@
     time::Moment,
 };
 use dandelionpitch_platform::{
-    backend::{keep_alive, Success},
+    backend::{configure_socket, Success},
     caller::{self, Request},
     feed,
     line::{self, Buffer},
@@ -50,7 +50,7 @@
 /// Serves a new connection in a task of its own.
 pub fn spawn(stream: TcpStream, shared: Rc<Shared>, origin: Origin) {
     tokio::task::spawn_local(async move {
-        if let Err(error) = keep_alive(&stream) {
+        if let Err(error) = configure_socket(&stream) {
             journal::trouble("caller socket", &error.to_string());
             return;
         }
@@ -128,13 +128,13 @@
         let Ok(Some(line)) = first else {
             return false;
         };
-        let database = match line::text(&line).and_then(caller::request) {
+        let database = match line::to_str(&line).and_then(caller::parse_request) {
             Ok(Request::Start { database }) => database.to_owned(),
             _ => return false,
         };
         let known = match self.shared.catalog() {
             _ if self.origin == Origin::Peer => match database.as_str() {
-                peer::NAME | feed::NAME => Ok(()),
+                peer::SERVICE | feed::SERVICE => Ok(()),
                 _ => Err(Refusal::new(
                     Code::Moved,
                     "only other proxies are served here",
@@ -148,8 +148,8 @@
         };
         let stand = self.stand();
         match &known {
-            Ok(()) => caller::ready(&mut self.out, stand),
-            Err(refusal) => caller::failed_start(&mut self.out, refusal),
+            Ok(()) => caller::write_ready(&mut self.out, stand),
+            Err(refusal) => caller::write_start_failure(&mut self.out, refusal),
         }
         self.database = database;
         self.flush().await && known.is_ok()
@@ -228,25 +228,25 @@
 
     /// Handles one message; `false` when the session is over.
     async fn handle(&mut self, line: &[u8], arrived: Moment) -> bool {
-        if self.origin == Origin::Peer && self.database == feed::NAME {
+        if self.origin == Origin::Peer && self.database == feed::SERVICE {
             return self.tell_changes(line).await;
         }
-        let message = line::text(line).and_then(|text| match self.origin {
-            Origin::Peer => peer::message(text),
-            Origin::Caller => caller::request(text).map(Message::from),
+        let message = line::to_str(line).and_then(|text| match self.origin {
+            Origin::Peer => peer::parse_message(text),
+            Origin::Caller => caller::parse_request(text).map(Message::from),
         });
         let Message { terms, request } = match message {
             Ok(message) => message,
             Err(error) => {
                 let refusal = Refusal::new(Code::Syntax, error.to_string());
-                caller::failed_start(&mut self.out, &refusal);
+                caller::write_start_failure(&mut self.out, &refusal);
                 self.flush().await;
                 return false;
             }
         };
         match request {
             Request::Quit | Request::Start { .. } => return false,
-            Request::Unclear { id } => {
+            Request::Invalid { id } => {
                 let refusal = Refusal::new(Code::Syntax, "not a statement");
                 self.state.failed();
                 self.release_failed();
--- a/crates/proxy/src/line/traffic/session/reply.rs
+++ b/crates/proxy/src/line/traffic/session/reply.rs
@@ -3,7 +3,7 @@
 use dandelionpitch_engine::{refusal::Refusal, time::Moment};
 use dandelionpitch_platform::{
     backend::Success,
-    caller::{self, Stand},
+    caller::{self, Ready},
     line,
 };
 use serde_json::json;
@@ -14,12 +14,12 @@
 
 impl Session {
     /// Where the session stands, as the other end is told.
-    pub(super) fn stand(&self) -> Stand {
+    pub(super) fn stand(&self) -> Ready {
         let position = match self.origin {
             Origin::Caller => None,
             Origin::Peer => self.state.floor(),
         };
-        Stand {
+        Ready {
             phase: self.state.phase(),
             position,
         }
@@ -35,10 +35,10 @@
         let stand = self.stand();
         let metrics = &self.shared.metrics;
         match &result {
-            Ok(Some(success)) => caller::success(&mut self.out, success, stand),
-            Ok(None) => caller::done(&mut self.out, stand),
+            Ok(Some(success)) => caller::write_success(&mut self.out, success, stand),
+            Ok(None) => caller::write_done(&mut self.out, stand),
             Err(refusal) => {
-                caller::refused(&mut self.out, refusal, stand);
+                caller::write_refusal(&mut self.out, refusal, stand);
                 journal::write(
                     "refused",
                     json!({ "id": id, "database": self.database, "code": refusal.code.to_string(),
@@ -84,7 +84,7 @@
         let write = self.writer.write_all(&self.out);
         let written = matches!(tokio::time::timeout(WRITE_TIMEOUT, write).await, Ok(Ok(())));
         self.out.clear();
-        self.out.shrink_to(line::LONGEST / 64);
+        self.out.shrink_to(line::MAX_LINE_BYTES / 64);
         written
     }
 }
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -57,7 +57,7 @@
     /// Rolls back in the background and gives the connection back.
     pub fn roll_back(mut self) {
         tokio::task::spawn_local(async move {
-            let ask = self.checkout.connection().link.ask(Query::Rollback);
+            let ask = self.checkout.connection().link.query(Query::Rollback);
             if let Ok(Ok(answer)) = tokio::time::timeout(ROLLBACK_TIMEOUT, ask).await {
                 if answer.state == State::Idle {
                     // Whether the server undoes values set inside is not known.
@@ -109,7 +109,7 @@
             holder,
         } = held;
         let asked = clock::now();
-        let sent = exchange(checkout, &backend, call, Condition::Nothing);
+        let sent = exchange(checkout, &backend, call, Condition::Always);
         let (answer, checkout) = match commits {
             true => run::doubting(group, &backend, sent).await,
             false => sent.await,
@@ -255,10 +255,10 @@
             };
             let begin = Query::Begin {
                 read_only: transaction.read_only,
-                condition: after.map_or(Condition::Nothing, Condition::After),
+                condition: after.map_or(Condition::Always, Condition::After),
             };
             let asked = clock::now();
-            let ask = checkout.connection().link.ask(begin);
+            let ask = checkout.connection().link.query(begin);
             match tokio::time::timeout(call.left(), ask).await {
                 Ok(Ok(answer)) => {
                     let trusted = group.note_position(&backend, asked, answer.position);
