--- a/crates/core/src/bundle.rs
+++ b/crates/core/src/bundle.rs
@@ -1,9 +1,9 @@
-//! The configuration bundle: database groups, which callers go to which group, and how stale
-//! each caller's reads may be.
+//! The configuration bundle: database groups, the group that each caller is routed to, and the
+//! staleness bound of each caller's reads.
 //!
 //! Operators write a bundle as TOML, sign it off and put it into the platform KV under
-//! [`crate::keys::BUNDLE`]. Versions only grow: the CLI refuses to put a version that is not
-//! higher than the one in force, and a proxy never applies a lower version than it runs
+//! [`crate::keys::BUNDLE`]. Versions only increase: the CLI refuses a version that is not higher
+//! than the current one, and a proxy never applies a lower version than the one it runs
 //! (`docs/DESIGN.md`, "Configuration bundles").
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -12,15 +12,14 @@
 
 use crate::{hash::Map, Error};
 
-/// The most servers one group may list; a stand-in group has three.
 const MAX_SERVERS: usize = 16;
 
-/// A checked bundle, as proxies use it.
+/// A validated bundle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bundle {
-    /// The version; higher versions replace lower ones and never the other way round.
+    /// A proxy replaces its bundle only by one of a higher version.
     pub version: u64,
-    /// Who signed this version off.
+    /// The operators who signed off this version.
     pub signed_off_by: Vec<String>,
     /// Database groups by name.
     pub groups: Map<String, Group>,
@@ -31,32 +30,32 @@
 /// One replicated database group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
-    /// The group's name, as callers' database name.
+    /// The group's name; callers use it as the database name.
     pub name: String,
-    /// The servers of the group; which one is primary is learnt at run time.
+    /// The servers of the group; the primary is discovered at run time.
     pub servers: Vec<SocketAddr>,
-    /// Backend connections a proxy keeps per server at most.
+    /// Maximum number of backend connections per proxy and server.
     pub pool_size: usize,
-    /// How many replicas must receive a commit before the primary acknowledges it, as the
-    /// group itself is set up. A primary is replaced only when this is at least 1.
+    /// Number of replicas that must receive a commit before the primary acknowledges it. It must
+    /// match the group's own setting; failover is enabled only if it is at least 1.
     pub sync_replicas: usize,
 }
 
-/// What one caller (a PostgreSQL user name) may do.
+/// Routing and limits of one caller, identified by its PostgreSQL user name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// The user name the caller connects with.
     pub user: String,
-    /// The group its statements go to.
+    /// The group that its statements are routed to.
     pub group: String,
-    /// How far behind the primary a replica may be to serve this caller's reads; zero sends
-    /// every read to the primary.
+    /// Maximum lag of a replica that serves this caller's reads; zero sends every read to the
+    /// primary.
     pub max_staleness: Duration,
-    /// How long one statement of this caller may take before the proxy gives it up.
+    /// Time limit for one statement.
     pub timeout: Duration,
 }
 
-/// The TOML shape of a bundle, as operators write it.
+/// TOML representation of a [`Bundle`].
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -69,7 +68,7 @@
     pub callers: Vec<CallerTable>,
 }
 
-/// The TOML shape of one group.
+/// TOML representation of a [`Group`].
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupTable {
@@ -81,7 +80,7 @@
     pub sync_replicas: usize,
 }
 
-/// The TOML shape of one caller.
+/// TOML representation of a [`Caller`].
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerTable {
@@ -106,13 +105,13 @@
 }
 
 impl Bundle {
-    /// Parses and checks a bundle from TOML text.
+    /// Parses TOML text and validates the result.
     pub fn parse(text: &str) -> Result<Self, Error> {
-        let wire: Document = toml::from_str(text)?;
-        Self::try_from(wire)
+        let document: Document = toml::from_str(text)?;
+        Self::try_from(document)
     }
 
-    /// The caller entry for a user name, if the bundle knows it.
+    /// Returns the caller with the given user name.
     pub fn caller(&self, user: &str) -> Option<&Arc<Caller>> {
         self.callers.get(user)
     }
@@ -121,33 +120,39 @@
 impl TryFrom<Document> for Bundle {
     type Error = Error;
 
-    fn try_from(wire: Document) -> Result<Self, Self::Error> {
-        if wire.version == 0 {
-            return Err(rule("version: must be 1 or higher"));
+    fn try_from(document: Document) -> Result<Self, Self::Error> {
+        if document.version == 0 {
+            return Err(rule_error("version: must be 1 or higher"));
         }
         let mut groups = Map::default();
-        for group in wire.groups {
+        for group in document.groups {
             let group = Group::try_from(group)?;
             if groups.contains_key(&group.name) {
-                return Err(rule(format!("group {:?}: named twice", group.name)));
+                return Err(rule_error(format!(
+                    "group {:?}: duplicate name",
+                    group.name
+                )));
             }
             groups.insert(group.name.clone(), group);
         }
         let mut callers = Map::default();
-        for caller in wire.callers {
+        for caller in document.callers {
             let caller = Caller::try_from(caller)?;
             if !groups.contains_key(&caller.group) {
                 let text = format!("caller {:?}: no group {:?}", caller.user, caller.group);
-                return Err(rule(text));
+                return Err(rule_error(text));
             }
             if callers.contains_key(&caller.user) {
-                return Err(rule(format!("caller {:?}: named twice", caller.user)));
+                return Err(rule_error(format!(
+                    "caller {:?}: duplicate name",
+                    caller.user
+                )));
             }
             callers.insert(caller.user.clone(), Arc::new(caller));
         }
         Ok(Self {
-            version: wire.version,
-            signed_off_by: wire.signed_off_by,
+            version: document.version,
+            signed_off_by: document.signed_off_by,
             groups,
             callers,
         })
@@ -157,29 +162,32 @@
 impl TryFrom<GroupTable> for Group {
     type Error = Error;
 
-    fn try_from(wire: GroupTable) -> Result<Self, Self::Error> {
-        if wire.name.is_empty() {
-            return Err(rule("group.name: must not be empty"));
+    fn try_from(table: GroupTable) -> Result<Self, Self::Error> {
+        if table.name.is_empty() {
+            return Err(rule_error("group.name: must not be empty"));
         }
-        if wire.servers.is_empty() || wire.servers.len() > MAX_SERVERS {
-            let text = format!("group {:?}: servers: 1 to {MAX_SERVERS} needed", wire.name);
-            return Err(rule(text));
+        if table.servers.is_empty() || table.servers.len() > MAX_SERVERS {
+            let text = format!(
+                "group {:?}: servers: must list 1 to {MAX_SERVERS} addresses",
+                table.name
+            );
+            return Err(rule_error(text));
         }
-        if wire.pool_size == 0 {
-            return Err(rule(format!(
+        if table.pool_size == 0 {
+            return Err(rule_error(format!(
                 "group {:?}: pool_size: must be 1 or more",
-                wire.name
+                table.name
             )));
         }
-        if wire.sync_replicas >= wire.servers.len() && wire.servers.len() > 1 {
+        if table.sync_replicas >= table.servers.len() && table.servers.len() > 1 {
             let text = "sync_replicas: must be below the number of servers";
-            return Err(rule(format!("group {:?}: {text}", wire.name)));
+            return Err(rule_error(format!("group {:?}: {text}", table.name)));
         }
         Ok(Self {
-            name: wire.name,
-            servers: wire.servers,
-            pool_size: wire.pool_size,
-            sync_replicas: wire.sync_replicas,
+            name: table.name,
+            servers: table.servers,
+            pool_size: table.pool_size,
+            sync_replicas: table.sync_replicas,
         })
     }
 }
@@ -187,20 +195,20 @@
 impl TryFrom<CallerTable> for Caller {
     type Error = Error;
 
-    fn try_from(wire: CallerTable) -> Result<Self, Self::Error> {
-        if wire.timeout.is_zero() {
-            let text = format!("caller {:?}: timeout: must be above zero", wire.user);
-            return Err(rule(text));
+    fn try_from(table: CallerTable) -> Result<Self, Self::Error> {
+        if table.timeout.is_zero() {
+            let text = format!("caller {:?}: timeout: must be above zero", table.user);
+            return Err(rule_error(text));
         }
         Ok(Self {
-            user: wire.user,
-            group: wire.group,
-            max_staleness: wire.max_staleness,
-            timeout: wire.timeout,
+            user: table.user,
+            group: table.group,
+            max_staleness: table.max_staleness,
+            timeout: table.timeout,
         })
     }
 }
 
-fn rule(text: impl Into<String>) -> Error {
+fn rule_error(text: impl Into<String>) -> Error {
     Error::BundleRule(text.into())
 }
--- a/crates/core/src/era.rs
+++ b/crates/core/src/era.rs
@@ -1,26 +1,26 @@
-//! Orders what the store says across the times at which it came back from a copy.
+//! Orders store revisions across restores of the store from a backup.
 //!
-//! The store may lose what it acknowledged in its last seconds and give its revisions out again; its era
-//! rises by one each time (`docs/DESIGN.md`, "The store comes back from a copy"). A stamp is a revision
-//! with its era before it, so that whatever was said in a later era is the newer one: mirrors, fencing
-//! tokens and records go by stamps alone. A store that says nothing of eras is always in era zero, where
-//! a stamp is the revision itself.
+//! A restored store may have lost its last acknowledged writes and reuses their revisions; it increments
+//! its era with each restore (`docs/DESIGN.md`, "The store comes back from a copy"). A stamp is a revision
+//! prefixed with its era, so that each stamp of a later era is higher. Mirrors, fencing tokens and records
+//! compare stamps only. A store that reports no era is always in era zero, where the stamp equals the
+//! revision.
 
-/// How many bits of a stamp hold the revision. Those above it hold eras up to 31 in a number that JSON
-/// readers take as a whole one.
+/// Number of low bits of a stamp that hold the revision. The bits above hold the era, up to 31 if the
+/// stamp has to fit into the 53 bits of a JSON number.
 const REVISION_BITS: u32 = 48;
 
-/// The stamp of a revision.
+/// Combines an era and a revision into a stamp.
 pub fn stamp(era: u64, revision: u64) -> u64 {
     era << REVISION_BITS | revision
 }
 
-/// The era of a stamp.
+/// Returns the era of a stamp.
 pub fn of(stamp: u64) -> u64 {
     stamp >> REVISION_BITS
 }
 
-/// The revision of a stamp, as the store counts within its era.
+/// Returns the revision of a stamp, which is only unique within its era.
 pub fn revision(stamp: u64) -> u64 {
     stamp & ((1 << REVISION_BITS) - 1)
 }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,25 +1,25 @@
-//! Errors shared by the library parts.
+//! The error type of this crate.
 
 use derive_more::{Display, Error, From};
 
-/// An error of the shared library parts.
+/// Errors of bundles, the platform KV client and log positions.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// A bundle file or KV value was not valid TOML of the bundle shape.
-    #[display("bundle is not valid: {_0}")]
+    /// A bundle is not valid TOML or lacks required fields.
+    #[display("invalid bundle: {_0}")]
     BundleSyntax(toml::de::Error),
-    /// A bundle parsed but broke a rule; the text names the field.
-    #[display("bundle is not valid: {_0}")]
+    /// A bundle has an invalid value; the text names the field.
+    #[display("invalid bundle: {_0}")]
     #[from(ignore)]
     BundleRule(#[error(not(source))] String),
-    /// The platform KV could not be reached or answered with a failure.
+    /// A request to the platform KV failed.
     #[display("platform KV: {_0}")]
     Kv(reqwest::Error),
-    /// The platform KV answered with something that is not its protocol.
-    #[display("platform KV answered badly: {_0}")]
+    /// The platform KV sent an unexpected response.
+    #[display("unexpected response from platform KV: {_0}")]
     #[from(ignore)]
     KvAnswer(#[error(not(source))] String),
-    /// A log position token did not have the `term/lsn` shape.
+    /// A position token is not of the form `term/lsn`.
     #[display("position token {_0:?} is not of the form term/lsn")]
     #[from(ignore)]
     Position(#[error(not(source))] String),
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -1,26 +1,25 @@
-//! The hash map used throughout: a fast non-cryptographic hasher behind one alias, and the numbers that
-//! every process derives alike from the same key.
+//! Hash maps with a fast non-cryptographic hasher, and hashes that are equal in all processes.
 
 use std::hash::{Hash, Hasher};
 
-/// A hash map keyed by values we produce ourselves, so hash flooding is not a concern.
+/// A hash map with a fast hasher that does not protect against hash flooding.
 pub type Map<K, V> = rustc_hash::FxHashMap<K, V>;
 
 /// A hash set with the same hasher.
 pub type Set<T> = rustc_hash::FxHashSet<T>;
 
-/// A number spread over all 64 bits, the same each time and in each process for the same key.
+/// Returns a 64-bit hash of `key` that is the same in every process.
 pub fn stable_hash(key: &impl Hash) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     key.hash(&mut hasher);
-    mix(hasher.finish())
+    fmix64(hasher.finish())
 }
 
-/// The last step of MurmurHash3: each bit of `hash` changes about half of the result's.
+/// The finalizer of MurmurHash3: each input bit affects about half of the output bits.
 ///
-/// Failure: keys that differ in their last characters only, as names of VMs do, hash to numbers in the
-/// same order whatever stands before them, and every proxy prefers the same one.
-fn mix(mut hash: u64) -> u64 {
+/// Without it, keys that differ only in their last characters, such as VM names, hash to numbers whose
+/// order does not depend on the preceding characters, so all proxies would prefer the same VM.
+fn fmix64(mut hash: u64) -> u64 {
     hash ^= hash >> 33;
     hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash ^= hash >> 33;
@@ -28,7 +27,7 @@
     hash ^ (hash >> 33)
 }
 
-/// A number from zero up to one, the same each time for the same key.
+/// Maps the [`stable_hash`] of `key` to a number from 0 to 1.
 pub fn stable_fraction(key: &impl Hash) -> f64 {
     (stable_hash(key) >> 32) as f64 / f64::from(u32::MAX)
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,5 @@
-//! Shared pieces of dandelionpitch: configuration bundles, the platform KV client, log positions
-//! and log set-up.
-//!
-//! The proxy daemon and the operator CLI both read bundles and speak to the platform KV, so the
-//! types live here once. See `docs/DESIGN.md` for how the pieces fit.
+//! Types shared by the proxy daemon and the operator CLI: configuration bundles, the platform KV
+//! client, log positions and logging setup. See `docs/DESIGN.md` for an overview.
 
 pub mod bundle;
 pub mod era;
--- a/crates/core/src/logging.rs
+++ b/crates/core/src/logging.rs
@@ -1,27 +1,27 @@
-//! Log set-up shared by both binaries: `log` records written by `fern` to standard error.
+//! Logging setup shared by both binaries: `fern` writes `log` records to standard error.
 //!
-//! Each part logs with its own target (`router`, `control`, ...), which becomes the fixed
-//! prefix of the line, so one part's lines can be picked out with a plain search.
+//! Each line contains the last segment of the record's target (`router`, `control`, ...), so that
+//! lines can be filtered by module.
 
 use log::LevelFilter;
 
-/// Sends log records at `level` and above to standard error.
+/// Installs the global logger, which writes records at `level` and above to standard error.
 ///
-/// Errors only when a logger is already set, which is a programming fault in `main`.
+/// Returns an error if a logger is already installed.
 pub fn init(level: LevelFilter) -> Result<(), log::SetLoggerError> {
     fern::Dispatch::new()
         .format(|out, message, record| {
             out.finish(format_args!(
                 "{} {:<5} {}: {}",
-                humantime_now(),
+                unix_timestamp(),
                 record.level(),
                 record.target().rsplit("::").next().unwrap_or_default(),
                 message
             ))
         })
         .level(level)
-        // Rocket warns of each request that it answers with an error, such as the readiness probe
-        // of a stopping proxy.
+        // Rocket logs a warning for each error response, including readiness probes during
+        // shutdown.
         .level_for("rocket", LevelFilter::Error)
         .level_for("_", LevelFilter::Error)
         .level_for("hyper", LevelFilter::Warn)
@@ -31,7 +31,7 @@
         .apply()
 }
 
-fn humantime_now() -> String {
+fn unix_timestamp() -> String {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -1,35 +1,32 @@
-//! Log positions of a database group, and the session token that carries one.
+//! Log positions of a database group and their text form, the session token.
 //!
 //! A session's token is the position of its last acknowledged write. A proxy may serve the
-//! session's reads from a replica only once that replica has applied the position. The token
-//! travels with the caller, so read-your-writes holds when the session roams to another proxy
-//! with no message between proxies (see `docs/DESIGN.md`, "Read-your-writes after roaming").
+//! session's reads from a replica only once that replica has applied the position. The caller
+//! presents the token to each proxy, so read-your-writes also holds after the session moves to
+//! another proxy (`docs/DESIGN.md`, "Read-your-writes after roaming").
 
 use std::{fmt, str::FromStr};
 
 use crate::Error;
 
-/// A point in a database group's log: the primary's term and the log sequence number.
+/// A position in a database group's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// The term of the primary that wrote the entry; first, so that the derived order
-    /// compares terms before numbers.
+    /// The term of the primary that wrote the entry. It must be the first field, as the derived
+    /// order compares terms before log sequence numbers.
     pub term: u64,
-    /// The log sequence number, counted on across terms.
+    /// The log sequence number, which does not restart with a new term.
     pub lsn: u64,
 }
 
 impl Position {
-    /// Whether a server that has applied `self` also holds every acknowledged write up to `other`.
+    /// Whether a server that has applied `self` also has every acknowledged write up to `other`.
     ///
-    /// Terms are compared first. A server whose last entry is of a later term holds every
-    /// acknowledged entry of the earlier ones, because a primary is promoted only from the log
-    /// that has them all (`docs/DESIGN.md`, "Failover").
-    ///
-    /// Failure: a superseded primary that is cut off goes on writing entries nobody
-    /// acknowledged, its number passes that of a write its successor acknowledged, and a
-    /// session that roams to its side reads without its own write. Guard: its entries stay in
-    /// the earlier term, so no number of them covers the successor's position.
+    /// Terms are compared first. A server whose last entry is of a later term has every
+    /// acknowledged entry of the earlier terms, because only a server whose log contains all of
+    /// them is promoted (`docs/DESIGN.md`, "Failover"). A partitioned, superseded primary may
+    /// write unacknowledged entries whose sequence numbers exceed those of its successor; as these
+    /// entries are of the earlier term, they never cover a position of the successor.
     pub fn covers(self, other: Self) -> bool {
         self >= other
     }
@@ -45,11 +42,11 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || Error::Position(text.to_owned());
-        let (term, lsn) = text.trim().split_once('/').ok_or_else(bad)?;
+        let invalid = || Error::Position(text.to_owned());
+        let (term, lsn) = text.trim().split_once('/').ok_or_else(invalid)?;
         Ok(Self {
-            term: term.parse().map_err(|_| bad())?,
-            lsn: lsn.parse().map_err(|_| bad())?,
+            term: term.parse().map_err(|_| invalid())?,
+            lsn: lsn.parse().map_err(|_| invalid())?,
         })
     }
 }
--- a/crates/core/src/primary.rs
+++ b/crates/core/src/primary.rs
@@ -1,8 +1,9 @@
-//! The record in the platform KV of who leads a database group.
+//! The primary record of a database group in the platform KV.
 //!
-//! A term belongs to whoever wrote it there first: the record is only ever replaced by
-//! compare-and-swap, and only by one of a higher term or by the same term with its server
-//! filled in. So two proxies never promote at the same term (`docs/DESIGN.md`, "Failover").
+//! A proxy claims a term by writing a record with it. Records are only replaced by
+//! compare-and-swap, and only by a record of a higher term or by one of the same term that adds
+//! the server. Therefore two proxies never promote in the same term (`docs/DESIGN.md`,
+//! "Failover").
 
 use std::net::SocketAddr;
 
@@ -10,21 +11,21 @@
 
 use crate::Error;
 
-/// Who leads a group, or who is about to promote.
+/// The primary of a group, or the proxy that is about to promote one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The term; it never goes down.
+    /// The term, which never decreases.
     pub term: u64,
-    /// The server that leads at this term; `None` while the claimant has yet to promote one.
+    /// The primary of this term; `None` until the claimant has promoted one.
     pub server: Option<SocketAddr>,
     /// The proxy that claimed the term.
     pub claimant: String,
-    /// The servers that may hold an acknowledged commit that no other has, listed in the bundle in
-    /// force or not; empty in a record of a proxy that kept no such list.
+    /// Servers that may have an acknowledged commit that no other server has, whether or not the
+    /// current bundle lists them. Empty if the proxy that wrote the record tracks no members.
     pub members: Vec<SocketAddr>,
 }
 
-/// The JSON shape of a record.
+/// JSON representation of a [`Record`].
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Wire {
     pub term: u64,
@@ -36,16 +37,16 @@
 }
 
 impl Record {
-    /// Reads a record from a KV value.
+    /// Parses a KV value.
     pub fn parse(value: &[u8]) -> Result<Self, Error> {
         let wire: Wire =
             serde_json::from_slice(value).map_err(|error| Error::KvAnswer(error.to_string()))?;
         Ok(Self::from(wire))
     }
 
-    /// The record as a KV value.
+    /// Serializes the record as a KV value.
     pub fn to_value(&self) -> Vec<u8> {
-        serde_json::to_vec(&Wire::from(self)).expect("a record is plain JSON")
+        serde_json::to_vec(&Wire::from(self)).expect("a record always serializes to JSON")
     }
 }
 
--- a/crates/core/src/vms.rs
+++ b/crates/core/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs: which are live and which are leaving. It lags.
+//! Client of the platform's VM list, which may lag behind the actual state of the VMs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,27 +10,26 @@
 
 use crate::Error;
 
-/// How long one call may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the platform is doing with a VM.
+/// State of a VM on the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     Live,
-    /// It will be stopped soon and must get no new work.
+    /// The VM is about to be stopped and must not receive new work.
     Leaving,
 }
 
-/// One VM of the list.
+/// An entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Vm {
-    /// Where its server listens.
+    /// The address that the VM's server listens on.
     pub address: SocketAddr,
     pub state: State,
 }
 
-/// A reader of the list at one URL; it asks only for what has changed.
+/// A client of the VM list at one URL, which skips unchanged lists by means of an ETag.
 #[derive(Clone, Debug)]
 pub struct Client {
     url: String,
@@ -39,7 +38,7 @@
 }
 
 impl Client {
-    /// A reader that has seen nothing yet.
+    /// Creates a client without a cached ETag, so that its first request returns the whole list.
     pub fn new(url: &str) -> Self {
         Self {
             url: url.to_owned(),
@@ -48,7 +47,7 @@
         }
     }
 
-    /// The list, or `None` when it is the same as last time.
+    /// Fetches the list; returns `None` if it has not changed since the last call.
     pub async fn read(&mut self) -> Result<Option<Vec<Vm>>, Error> {
         let mut request = self.http.get(&self.url).timeout(CALL_TIMEOUT);
         if let Some(etag) = &self.etag {
