--- a/crates/core/src/kv.rs
+++ b/crates/core/src/kv.rs
@@ -1,11 +1,11 @@
-//! Client of the platform's key-value service, in the shape of the etcd v3 JSON gateway.
+//! Client of the platform's key-value service, which serves the etcd v3 JSON gateway API.
 //!
-//! The platform KV gives compare-and-swap, leases and watches; it is slow at times, has
-//! outages and may lose an answer after the action took effect. Every call here therefore has
-//! a timeout and returns a value the caller decides on; nothing retries behind its back.
+//! The platform KV offers compare-and-swap, leases and watches. It may be slow or unavailable, and
+//! a response may be lost after the operation took effect. Every call therefore has a timeout, and
+//! none is retried here.
 //!
-//! Revisions are given out and taken as stamps ([`era`]), leases with their era. One of an earlier era is never
-//! sent to the KV, where the same number may mean something else by now.
+//! The API of this module represents revisions as stamps ([`era`]) and leases with their era. The
+//! numbers of an earlier era are never sent to the KV, which may have reused them.
 
 pub mod wire;
 
@@ -23,46 +23,45 @@
 
 pub use wire::{Event, EventType, KeyValue};
 
-/// How long one KV call may take before it counts as failed.
+/// Timeout of one KV call.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a watch is trusted in silence before it is opened again. A connection may go
-/// silent for good without a reset; the reader would then miss every later change.
+/// Maximum time between two messages of a watch. Without this timeout, a connection that was lost
+/// without a reset would hide all later changes.
 pub const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The header that says how often the KV has come back from a copy.
+/// Response header with the KV's era, the number of its restores from a backup.
 pub const ERA_HEADER: &str = "Store-Era";
 
-/// A handle on the platform KV at one endpoint (`http://host:port`).
+/// A client of the platform KV at one endpoint. Clones share the latest era seen.
 #[derive(Clone, Debug)]
 pub struct Client {
     endpoint: String,
     http: reqwest::Client,
-    /// The latest era that an answer was of, for all clones.
     era: Arc<AtomicU64>,
 }
 
-/// A lease. Its number is any that the KV likes, and may be given out again in a later era.
+/// A lease. The KV may reuse its number in a later era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     era: u64,
     id: i64,
 }
 
-/// The outcome of a compare-and-swap put.
+/// The outcome of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Swap {
     /// The key held the expected revision and now holds the new value.
     Done {
-        /// The store revision of the write.
+        /// The stamp of the write.
         revision: u64,
     },
-    /// The key had moved on; nothing was written.
+    /// The key was not at the expected revision; nothing was written.
     Conflict,
 }
 
 impl Client {
-    /// A client for the KV at `endpoint`, for example `http://127.0.0.1:2379`.
+    /// Creates a client for the KV at `endpoint`, for example `http://127.0.0.1:2379`.
     pub fn new(endpoint: &str) -> Self {
         Self {
             endpoint: endpoint.trim_end_matches('/').to_owned(),
@@ -71,29 +70,31 @@
         }
     }
 
-    /// The latest era that an answer was of.
+    /// Returns the latest era seen in a response.
     pub fn era(&self) -> u64 {
         self.era.load(Ordering::Relaxed)
     }
 
-    /// Whether a stamp is of the era that the KV was last seen in; zero names nothing of any era.
+    /// Whether a stamp is of the latest era seen. Zero stands for no revision and is always current.
     fn is_current(&self, stamp: u64) -> bool {
         stamp == 0 || era::of(stamp) == self.era()
     }
 
-    /// The era of an answer; one of an earlier era than an answer before it has come late.
+    /// Returns the era of a response and records it as the latest seen.
+    ///
+    /// Returns an error for a delayed response of an earlier era.
     fn era_of(&self, answer: &reqwest::Response) -> Result<u64, Error> {
-        let said = answer.headers().get(ERA_HEADER);
-        let said = said.and_then(|era| era.to_str().ok()?.trim().parse().ok());
-        // A KV that never came back from a copy may leave the header out.
-        let era = said.unwrap_or_default();
+        let header = answer.headers().get(ERA_HEADER);
+        let header = header.and_then(|era| era.to_str().ok()?.trim().parse().ok());
+        // A KV that was never restored may omit the header.
+        let era = header.unwrap_or_default();
         match self.era.fetch_max(era, Ordering::Relaxed) > era {
-            true => Err(Error::KvAnswer("an answer of an earlier era".to_owned())),
+            true => Err(Error::KvAnswer("response of an earlier era".to_owned())),
             false => Ok(era),
         }
     }
 
-    /// Calls the KV; the era of the answer and the answer.
+    /// Sends a request and returns the era of the response and its body.
     async fn call<Q, A>(&self, path: &str, request: &Q) -> Result<(u64, A), Error>
     where
         Q: serde::Serialize + ?Sized,
@@ -112,7 +113,7 @@
         Ok((era, answer.json().await?))
     }
 
-    /// Reads one key; `None` when it does not exist.
+    /// Reads one key; returns `None` if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, Error> {
         let request = wire::RangeRequest::key(key);
         let (era, answer): (u64, wire::RangeResponse) = self.call("/v3/kv/range", &request).await?;
@@ -127,18 +128,18 @@
         answer.into_values(era)
     }
 
-    /// Writes `value` under `key`, tied to `lease` when one is given.
+    /// Writes `value` under `key`, attached to `lease` if given, and returns the stamp of the write.
     pub async fn put(&self, key: &str, value: &[u8], lease: Option<Lease>) -> Result<u64, Error> {
         if lease.is_some_and(|lease| lease.era != self.era()) {
-            return Err(Error::KvAnswer("the lease is of an earlier era".to_owned()));
+            return Err(Error::KvAnswer("lease of an earlier era".to_owned()));
         }
         let request = wire::PutRequest::new(key, value, lease.map(|lease| lease.id));
         let (era, answer): (u64, wire::PutResponse) = self.call("/v3/kv/put", &request).await?;
         Ok(era::stamp(era, answer.header.revision))
     }
 
-    /// Writes `value` under `key` only if the key's last write was at `mod_revision`; zero
-    /// means the key must not exist yet.
+    /// Writes `value` under `key` if the key was last written at the stamp `mod_revision`; zero
+    /// requires that the key does not exist.
     pub async fn compare_and_swap(
         &self,
         key: &str,
@@ -151,9 +152,9 @@
         let before = self.era();
         let request = wire::TxnRequest::put_if(key, value, era::revision(mod_revision));
         let (era, answer): (u64, wire::TxnResponse) = self.call("/v3/kv/txn", &request).await?;
-        // In another era the condition held by chance.
-        let rests_on_era = mod_revision != 0 && era != before;
-        Ok(match answer.succeeded && !rests_on_era {
+        // The KV was restored meanwhile: a reused revision may have matched.
+        let era_changed = mod_revision != 0 && era != before;
+        Ok(match answer.succeeded && !era_changed {
             true => Swap::Done {
                 revision: era::stamp(era, answer.header.revision),
             },
@@ -161,7 +162,7 @@
         })
     }
 
-    /// Grants a lease of `ttl` seconds.
+    /// Requests a lease of `ttl` seconds.
     pub async fn grant(&self, ttl: u64) -> Result<Lease, Error> {
         let request = wire::LeaseGrantRequest { ttl, id: 0 };
         let (era, answer): (u64, wire::LeaseGrantResponse) =
@@ -169,7 +170,7 @@
         Ok(Lease { era, id: answer.id })
     }
 
-    /// Renews a lease; returns the seconds left, zero when the lease had already expired.
+    /// Renews a lease; returns the remaining seconds, or zero if it has expired.
     pub async fn keepalive(&self, lease: Lease) -> Result<u64, Error> {
         if lease.era != self.era() {
             return Ok(0);
@@ -177,19 +178,21 @@
         let request = wire::LeaseKeepAliveRequest { id: lease.id };
         let (era, answer): (u64, wire::LeaseKeepAliveResponse) =
             self.call("/v3/lease/keepalive", &request).await?;
-        // Another may have that number in a later era.
+        // In a later era the number may belong to another lease.
         Ok(match era == lease.era {
             true => answer.result.ttl,
             false => 0,
         })
     }
 
-    /// Watches the keys that start with `prefix` for changes from `start_revision` on; the
-    /// stream ends when the KV closes it.
+    /// Watches keys that start with `prefix` for changes from the stamp `start_revision` on.
+    ///
+    /// Returns an error if that stamp is of an earlier era.
     pub async fn watch_prefix(&self, prefix: &str, start_revision: u64) -> Result<Watch, Error> {
-        let gone = || Error::KvAnswer("that history is of an earlier era".to_owned());
+        let earlier_era =
+            || Error::KvAnswer("start revision of the watch is of an earlier era".to_owned());
         if !self.is_current(start_revision) {
-            return Err(gone());
+            return Err(earlier_era());
         }
         let range = wire::RangeRequest::prefix(prefix);
         let request = wire::WatchRequest::new(range, era::revision(start_revision));
@@ -197,10 +200,10 @@
         let open = self.http.post(url).json(&request).send();
         let answer = tokio::time::timeout(CALL_TIMEOUT, open)
             .await
-            .map_err(|_| Error::KvAnswer("no answer to a watch".to_owned()))??;
+            .map_err(|_| Error::KvAnswer("timeout opening a watch".to_owned()))??;
         let era = self.era_of(&answer)?;
         if start_revision != 0 && era != era::of(start_revision) {
-            return Err(gone());
+            return Err(earlier_era());
         }
         let answer = answer.error_for_status()?;
         Ok(Watch {
@@ -215,7 +218,7 @@
     Box<dyn futures::Stream<Item = reqwest::Result<bytes::Bytes>> + Send + Sync + 'static>,
 >;
 
-/// An open watch: newline-separated JSON answers, as the etcd gateway streams them.
+/// An open watch, which reads the newline-delimited JSON messages of the etcd gateway.
 pub struct Watch {
     era: u64,
     body: Body,
@@ -223,8 +226,8 @@
 }
 
 impl Watch {
-    /// The next batch of events; `None` when the KV closed the watch or it was silent for
-    /// [`WATCH_TIMEOUT`].
+    /// Waits for the next batch of events; returns `None` if the KV closed the watch or sent nothing
+    /// for [`WATCH_TIMEOUT`].
     pub async fn next(&mut self) -> Result<Option<Vec<Event>>, Error> {
         loop {
             if let Some(end) = self.buffer.iter().position(|&byte| byte == b'\n') {
--- a/crates/core/src/kv/wire.rs
+++ b/crates/core/src/kv/wire.rs
@@ -1,15 +1,14 @@
-//! Messages of the etcd v3 JSON gateway, as far as dandelionpitch uses them.
+//! The messages of the etcd v3 JSON gateway that the client and the stand-in KV use.
 //!
-//! Keys and values travel in base64 and 64-bit numbers as decimal strings, as the gateway
-//! sends them; [`number`] also reads plain JSON numbers. The stand-in KV serves these same
-//! types, so client and stand-in cannot drift apart.
+//! The gateway encodes keys and values in base64 and 64-bit numbers as decimal strings;
+//! [`number`] also accepts plain JSON numbers.
 
 use base64::{engine::general_purpose::STANDARD, Engine};
 use serde::{Deserialize, Serialize};
 
 use crate::{era, Error};
 
-/// Serde helpers for 64-bit numbers written as strings.
+/// Serde functions for 64-bit numbers that are encoded as strings.
 pub mod number {
     use serde::{de::Error, Deserialize, Deserializer, Serializer};
 
@@ -20,12 +19,11 @@
         Number(i128),
     }
 
-    /// Writes the number as a decimal string.
     pub fn serialize<T: ToString, S: Serializer>(value: &T, out: S) -> Result<S::Ok, S::Error> {
         out.serialize_str(&value.to_string())
     }
 
-    /// Reads a decimal string or a plain number.
+    /// Deserializes a decimal string or a number.
     pub fn deserialize<'de, T, D>(input: D) -> Result<T, D::Error>
     where
         T: TryFrom<i128>,
@@ -46,10 +44,12 @@
 fn decode(text: &str) -> Result<Vec<u8>, Error> {
     STANDARD
         .decode(text)
-        .map_err(|error| Error::KvAnswer(format!("bad base64: {error}")))
+        .map_err(|error| Error::KvAnswer(format!("invalid base64: {error}")))
 }
 
-/// The end of the range of keys that start with `prefix`, as etcd defines it.
+/// Returns the exclusive end of the range of keys that start with `prefix`.
+///
+/// If there is no upper bound, this is a zero byte, which etcd defines as the end of the key space.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -61,15 +61,15 @@
     vec![0]
 }
 
-/// The header every answer carries.
+/// The header of every response.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Header {
-    /// The store's revision when the answer was made.
+    /// The KV's revision at the time of the response.
     #[serde(with = "number", default)]
     pub revision: u64,
 }
 
-/// A key with its value, as stored.
+/// A decoded key and value with their metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     pub key: String,
@@ -80,7 +80,7 @@
     pub lease: i64,
 }
 
-/// The JSON form of [`KeyValue`].
+/// JSON representation of [`KeyValue`].
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct WireKeyValue {
     pub key: String,
@@ -114,7 +114,7 @@
 }
 
 impl KeyValue {
-    /// With its revisions as stamps.
+    /// Converts the revisions to stamps of `era`.
     fn stamped(self, era: u64) -> Self {
         Self {
             create_revision: era::stamp(era, self.create_revision),
@@ -146,7 +146,6 @@
 }
 
 impl RangeRequest {
-    /// A request for one key.
     pub fn key(key: &str) -> Self {
         Self {
             key: encode(key.as_bytes()),
@@ -154,7 +153,6 @@
         }
     }
 
-    /// A request for every key under a prefix.
     pub fn prefix(prefix: &str) -> Self {
         Self {
             key: encode(prefix.as_bytes()),
@@ -162,7 +160,7 @@
         }
     }
 
-    /// The decoded bounds: the first key and, for a range, the end (exclusive).
+    /// Decodes the first key and, for a range, the exclusive end.
     pub fn bounds(&self) -> Result<(Vec<u8>, Option<Vec<u8>>), Error> {
         let end = match self.range_end.is_empty() {
             true => None,
@@ -172,7 +170,6 @@
     }
 }
 
-/// The answer to a range request.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct RangeResponse {
     #[serde(default)]
@@ -182,10 +179,10 @@
 }
 
 impl RangeResponse {
-    /// The decoded key-values, as of an era of the KV.
+    /// Decodes the key-value pairs, with their revisions as stamps of `era`.
     pub fn into_values(self, era: u64) -> Result<Vec<KeyValue>, Error> {
-        let read = |wire| KeyValue::try_from(wire).map(|kv| kv.stamped(era));
-        self.kvs.into_iter().map(read).collect()
+        let convert = |wire| KeyValue::try_from(wire).map(|kv| kv.stamped(era));
+        self.kvs.into_iter().map(convert).collect()
     }
 }
 
@@ -199,7 +196,7 @@
 }
 
 impl PutRequest {
-    /// A put of `value` under `key`, with a lease or none.
+    /// Creates a request to write `value` under `key`, attached to `lease` if given.
     pub fn new(key: &str, value: &[u8], lease: Option<i64>) -> Self {
         Self {
             key: encode(key.as_bytes()),
@@ -208,7 +205,6 @@
         }
     }
 
-    /// The decoded key and value.
     pub fn decoded(&self) -> Result<(String, Vec<u8>), Error> {
         let key = String::from_utf8(decode(&self.key)?)
             .map_err(|_| Error::KvAnswer("key is not UTF-8".to_owned()))?;
@@ -216,14 +212,13 @@
     }
 }
 
-/// The answer to a put.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct PutResponse {
     #[serde(default)]
     pub header: Header,
 }
 
-/// One comparison of a transaction; only `MOD` `EQUAL` is used.
+/// A comparison of a transaction; only target `MOD` with result `EQUAL` is used.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Compare {
     pub key: String,
@@ -233,7 +228,7 @@
     pub mod_revision: u64,
 }
 
-/// One operation of a transaction branch; only puts are used.
+/// An operation of a transaction; only puts are used.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct RequestOp {
     pub request_put: PutRequest,
@@ -251,7 +246,8 @@
 }
 
 impl TxnRequest {
-    /// A put that happens only if the key was last written at `mod_revision` (zero: absent).
+    /// Creates a put on condition that the key was last written at `mod_revision`; zero requires
+    /// that the key does not exist.
     pub fn put_if(key: &str, value: &[u8], mod_revision: u64) -> Self {
         Self {
             compare: vec![Compare {
@@ -268,7 +264,6 @@
     }
 }
 
-/// The answer to a transaction.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct TxnResponse {
     #[serde(default)]
@@ -286,7 +281,6 @@
     pub id: i64,
 }
 
-/// The answer to a lease grant.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct LeaseGrantResponse {
     #[serde(default)]
@@ -304,7 +298,7 @@
     pub id: i64,
 }
 
-/// The body of a keepalive answer; a TTL of zero means the lease had expired.
+/// The result of a keepalive; a TTL of zero means that the lease has expired.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct LeaseKeepAliveResult {
     #[serde(rename = "ID", with = "number")]
@@ -313,13 +307,12 @@
     pub ttl: u64,
 }
 
-/// The answer to a keepalive, wrapped as the gateway streams it.
+/// Response to [`LeaseKeepAliveRequest`], wrapped in a `result` like all streamed responses.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct LeaseKeepAliveResponse {
     pub result: LeaseKeepAliveResult,
 }
 
-/// The inner part of a watch request.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct WatchCreateRequest {
     pub key: String,
@@ -336,7 +329,6 @@
 }
 
 impl WatchRequest {
-    /// A watch of the keys of `range` from `start_revision` on.
     pub fn new(range: RangeRequest, start_revision: u64) -> Self {
         Self {
             create_request: WatchCreateRequest {
@@ -347,7 +339,6 @@
         }
     }
 
-    /// The decoded bounds, as [`RangeRequest::bounds`].
     pub fn bounds(&self) -> Result<(Vec<u8>, Option<Vec<u8>>), Error> {
         let range = RangeRequest {
             key: self.create_request.key.clone(),
@@ -357,7 +348,6 @@
     }
 }
 
-/// Whether an event wrote or deleted its key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub enum EventType {
     #[default]
@@ -374,7 +364,7 @@
     pub kv: KeyValue,
 }
 
-/// The JSON form of [`Event`].
+/// JSON representation of [`Event`].
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct WireEvent {
     #[serde(rename = "type", default)]
@@ -382,7 +372,6 @@
     pub kv: WireKeyValue,
 }
 
-/// One streamed watch answer.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct WatchResult {
     #[serde(default)]
@@ -392,7 +381,7 @@
 }
 
 impl WatchResult {
-    /// The decoded events, as of an era of the KV.
+    /// Decodes the events, with their revisions as stamps of `era`.
     pub fn into_events(self, era: u64) -> Result<Vec<Event>, Error> {
         let decode = |wire: WireEvent| {
             Ok(Event {
@@ -404,7 +393,7 @@
     }
 }
 
-/// The line the gateway streams for each watch answer.
+/// A message of an open watch; the gateway sends one per line.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct WatchResponse {
     pub result: WatchResult,
--- a/crates/ctl/src/burn.rs
+++ b/crates/ctl/src/burn.rs
@@ -1,8 +1,8 @@
-//! `dpctl burn`: how fast the service level burns.
+//! `dpctl burn`: reports the burn rate of the error budget.
 //!
-//! The burn rate is the share of failed statements over the share the objective allows: at 1
-//! the allowance is used up exactly at the end of its period, at 10 in a tenth of it. A proxy
-//! fails a statement when it answers "not run" or "outcome unknown".
+//! The burn rate is the ratio of failed statements divided by the ratio that the objective allows.
+//! At a rate of 1, the error budget lasts exactly for its period; at 10, for a tenth of it. A
+//! statement has failed if the proxy answered "not run" or "outcome unknown".
 
 use std::{ops::Sub, time::Duration};
 
@@ -11,50 +11,50 @@
 
 use crate::proxy::{self, Heartbeat};
 
-/// One figure of a proxy's `GET /metrics`.
+/// A metric in the response of a proxy's `GET /metrics`.
 #[derive(Debug, Deserialize)]
-struct Figure {
+struct Metric {
     name: String,
     attributes: Vec<(String, String)>,
     value: f64,
 }
 
-/// Statements answered, and those of them that were failed.
+/// Number of answered statements, and of those that failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Count {
-    all: f64,
+struct Statements {
+    total: f64,
     failed: f64,
 }
 
-impl Sub for Count {
+impl Sub for Statements {
     type Output = Self;
 
     fn sub(self, before: Self) -> Self {
         Self {
-            all: self.all - before.all,
+            total: self.total - before.total,
             failed: self.failed - before.failed,
         }
     }
 }
 
-impl Count {
-    fn of(figures: &[Figure]) -> Self {
+impl Statements {
+    fn of(metrics: &[Metric]) -> Self {
         let mut count = Self::default();
-        for figure in figures.iter().filter(|figure| figure.name == "statements") {
-            count.all += figure.value;
+        for metric in metrics.iter().filter(|metric| metric.name == "statements") {
+            count.total += metric.value;
             let failed = |(_, value): &(String, String)| value == "failed";
-            if figure.attributes.iter().any(failed) {
-                count.failed += figure.value;
+            if metric.attributes.iter().any(failed) {
+                count.failed += metric.value;
             }
         }
         count
     }
 
-    /// The burn rate; nothing burns while nothing is asked.
-    fn rate(self, objective: f64) -> f64 {
+    /// Returns the burn rate, which is zero if there were no statements.
+    fn burn_rate(self, objective: f64) -> f64 {
         let allowed = 1.0 - objective / 100.0;
-        match self.all > 0.0 {
-            true => self.failed / self.all / allowed,
+        match self.total > 0.0 {
+            true => self.failed / self.total / allowed,
             false => 0.0,
         }
     }
@@ -62,21 +62,22 @@
     fn columns(self, objective: f64) -> String {
         format!(
             "{:>10} {:>8} {:>8.1}",
-            self.all,
+            self.total,
             self.failed,
-            self.rate(objective)
+            self.burn_rate(objective)
         )
     }
 }
 
-/// The report: a line per proxy and one for all, since the proxies started and in the window.
+/// Reports statements, failures and burn rates per proxy and in total, both since the start of each
+/// proxy and within `window` seconds from now. `objective` is in per cent.
 pub async fn report(kv: &kv::Client, objective: f64, window: u64) -> Result<String, String> {
     let proxies: Vec<Heartbeat> = proxy::all(kv).await?.into_iter().flatten().collect();
     let before = counts(&proxies).await;
     tokio::time::sleep(Duration::from_secs(window)).await;
     let after = counts(&proxies).await;
     let mut lines = vec![
-        format!("objective {objective} %; burn 1.0 uses the allowance up exactly"),
+        format!("objective {objective} %; a burn rate of 1.0 uses exactly the error budget"),
         format!(
             "{:<16} {:<8} {:>10} {:>8} {:>8} | {:>10} {:>8} {:>8}",
             "proxy",
@@ -89,7 +90,7 @@
             "burn"
         ),
     ];
-    let (mut all_start, mut all_window) = (Count::default(), Count::default());
+    let (mut all_start, mut all_window) = (Statements::default(), Statements::default());
     for (index, proxy) in proxies.iter().enumerate() {
         let (Some(before), Some(after)) = (before[index], after[index]) else {
             lines.push(format!("{:<16} {:<8} no answer", proxy.id, proxy.dc));
@@ -103,22 +104,22 @@
     Ok(lines.join("\n"))
 }
 
-fn line(id: &str, dc: &str, start: Count, window: Count, objective: f64) -> String {
+fn line(id: &str, dc: &str, start: Statements, window: Statements, objective: f64) -> String {
     let (start, window) = (start.columns(objective), window.columns(objective));
     format!("{id:<16} {dc:<8} {start} | {window}")
 }
 
-fn add(one: Count, other: Count) -> Count {
-    Count {
-        all: one.all + other.all,
+fn add(one: Statements, other: Statements) -> Statements {
+    Statements {
+        total: one.total + other.total,
         failed: one.failed + other.failed,
     }
 }
 
-async fn counts(proxies: &[Heartbeat]) -> Vec<Option<Count>> {
+async fn counts(proxies: &[Heartbeat]) -> Vec<Option<Statements>> {
     let reads = proxies.iter().map(|proxy| async {
-        let figures: Vec<Figure> = proxy::get(&proxy.operator, "/metrics").await.ok()?;
-        Some(Count::of(&figures))
+        let metrics: Vec<Metric> = proxy::get(&proxy.operator, "/metrics").await.ok()?;
+        Some(Statements::of(&metrics))
     });
     futures::future::join_all(reads).await
 }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -6,7 +6,7 @@
 
 use crate::trace::Output;
 
-/// Operate dandelionpitch: check configuration bundles, put them in force, see what runs.
+/// Operate dandelionpitch: manage configuration bundles and inspect running proxies.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Cli {
@@ -14,15 +14,15 @@
     pub command: Command,
 }
 
-/// One operator action.
+/// Subcommands of `dpctl`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Check a bundle file and print what it holds.
+    /// Validate a bundle file and print a summary.
     Validate {
         /// The bundle file (TOML).
         file: PathBuf,
     },
-    /// Put a bundle in force as the next version, by compare-and-swap in the platform KV.
+    /// Replace the current bundle in the platform KV by one of a higher version.
     Put {
         /// The bundle file (TOML).
         file: PathBuf,
@@ -30,34 +30,35 @@
         #[arg(long, default_value = "http://127.0.0.1:2379")]
         kv: String,
     },
-    /// Report how fast the service level burns: the share of statements the proxies failed,
-    /// over the share the objective allows.
+    /// Report the burn rate of the error budget: the ratio of failed statements divided by the
+    /// ratio that the objective allows.
     Burn {
         /// The platform KV endpoint.
         #[arg(long, default_value = "http://127.0.0.1:2379")]
         kv: String,
-        /// The share of statements that must not fail, in per cent.
+        /// The percentage of statements that must succeed.
         #[arg(long, default_value_t = 99.9, value_parser = objective)]
         objective: f64,
-        /// How long to watch, in seconds, besides the time since each proxy started.
+        /// The length of the second measurement window in seconds; the first one is since each
+        /// proxy's start.
         #[arg(long, default_value_t = 10)]
         window: u64,
     },
-    /// Follow one request through log files: its lines, and what the proxy believed before them.
+    /// Print the log lines of one request, and the preceding lines on the state of its proxy.
     Trace {
-        /// The request's id, as the caller sent it.
+        /// The request id sent by the caller.
         id: String,
-        /// Log files, one a proxy process.
+        /// Log files, one per proxy process.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// How much earlier context is shown, in milliseconds.
+        /// How many milliseconds of context to print before the request's first line.
         #[arg(long, default_value_t = 5_000)]
         window: u64,
-        /// How the lines are printed.
+        /// The output format.
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
-    /// Show which bundle version each proxy runs, and who leads each group.
+    /// Show the bundle version of each proxy and the primary of each group.
     Status {
         /// The platform KV endpoint.
         #[arg(long, default_value = "http://127.0.0.1:2379")]
@@ -65,10 +66,10 @@
     },
 }
 
-/// An objective leaves something to burn, so 100 is refused.
+/// Parses an objective; 100 is invalid because it leaves no error budget.
 fn objective(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
         Ok(value) if (0.0..100.0).contains(&value) => Ok(value),
-        _ => Err("must be a number from 0 up to, but not, 100".to_owned()),
+        _ => Err("must be at least 0 and less than 100".to_owned()),
     }
 }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of `dpctl`; each returns the text to print or the reason it failed.
+//! The subcommands of `dpctl`; each returns the text to print or an error message.
 
 use std::path::Path;
 
@@ -17,7 +17,7 @@
     trace,
 };
 
-/// Runs one command.
+/// Runs a subcommand.
 pub async fn run(command: Command) -> Result<String, String> {
     match command {
         Command::Validate { file } => validate(&file),
@@ -54,29 +54,28 @@
     ))
 }
 
-/// Puts the bundle if its version is above the one in force.
+/// Writes the bundle to the KV if its version is higher than the current one.
 ///
-/// Failure: two operators race, or the KV applies the write and loses the answer. Guard: the
-/// write is a compare-and-swap on the revision read, so a racing write makes ours fail
-/// instead of reverting theirs; after a lost answer the key is read back to tell which
-/// happened.
+/// The write is a compare-and-swap on the revision that was read, so it never reverts a concurrent
+/// write of another operator. If the response is lost, the key is read again to find out whether
+/// the write took effect.
 async fn put(file: &Path, kv: &kv::Client) -> Result<String, String> {
     let (text, bundle) = read(file)?;
     let current = kv
         .get(keys::BUNDLE)
         .await
         .map_err(|error| error.to_string())?;
-    let (revision, in_force) = match &current {
+    let (revision, current_version) = match &current {
         Some(current) => {
-            let in_force = Bundle::parse(&String::from_utf8_lossy(&current.value))
+            let current_version = Bundle::parse(&String::from_utf8_lossy(&current.value))
                 .map_or(0, |bundle| bundle.version);
-            (current.mod_revision, in_force)
+            (current.mod_revision, current_version)
         }
         None => (0, 0),
     };
-    if bundle.version <= in_force {
+    if bundle.version <= current_version {
         return Err(format!(
-            "refused: version {} is not above version {in_force} in force; bundles never revert",
+            "refused: version {} is not higher than the current version {current_version}; bundles never revert",
             bundle.version
         ));
     }
@@ -86,21 +85,21 @@
     {
         Ok(Swap::Done { .. }) => Ok(format!("version {} is in the KV", bundle.version)),
         Ok(Swap::Conflict) => {
-            Err("refused: another bundle was put meanwhile; check it and try again".to_owned())
+            Err("refused: the bundle was changed meanwhile; review it and try again".to_owned())
         }
         Err(error) => match kv.get(keys::BUNDLE).await {
             Ok(Some(now)) if now.value == text.as_bytes() => Ok(format!(
-                "version {} is in the KV (its answer was lost)",
+                "version {} is in the KV (the response to the write was lost)",
                 bundle.version
             )),
             _ => Err(format!(
-                "outcome unknown: {error}; run status before trying again"
+                "outcome unknown: {error}; run `dpctl status` before trying again"
             )),
         },
     }
 }
 
-/// The part of a proxy's `GET /status` that is shown here.
+/// The fields used of a proxy's `GET /status`.
 #[derive(Debug, Deserialize)]
 struct Report {
     bundle_version: u64,
@@ -113,7 +112,7 @@
     Ok(lines.join("\n"))
 }
 
-/// A line per proxy, with the bundle version that the proxy itself reports.
+/// Formats a table of the proxies with the bundle version that each reports.
 async fn proxies(kv: &kv::Client) -> Result<Vec<String>, String> {
     let all = proxy::all(kv).await?;
     let lines = all.iter().map(|heartbeat| async {
@@ -141,7 +140,7 @@
     Ok(table)
 }
 
-/// A line per group whose primary was ever replaced.
+/// Formats a table of the primary records; a group has one once it has had a failover.
 async fn primaries(kv: &kv::Client) -> Result<Vec<String>, String> {
     let records = kv.list(keys::PRIMARY_PREFIX).await;
     let records = records.map_err(|error| error.to_string())?;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `dpctl`, the operator command line: parses, then hands off to one command.
+//! `dpctl`, the operator's command-line tool.
 
 mod burn;
 mod cli;
--- a/crates/ctl/src/proxy.rs
+++ b/crates/ctl/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxies of the site, as their heartbeat records name them, and their operator endpoints.
+//! Proxy discovery through heartbeat records, and requests to their operator endpoints.
 
 use dandelionpitch_core::{keys, kv};
 use serde::{de::DeserializeOwned, Deserialize};
@@ -12,15 +12,16 @@
     pub operator: String,
 }
 
-/// The records of all live proxies; the key of each that cannot be read.
+/// Lists the heartbeat records of all live proxies. An inner error is the key of a record that
+/// could not be parsed.
 pub async fn all(kv: &kv::Client) -> Result<Vec<Result<Heartbeat, String>>, String> {
     let records = kv.list(keys::PROXY_PREFIX).await;
     let records = records.map_err(|error| error.to_string())?;
-    let read = |kv: kv::KeyValue| serde_json::from_slice(&kv.value).map_err(|_| kv.key);
-    Ok(records.into_iter().map(read).collect())
+    let parse = |kv: kv::KeyValue| serde_json::from_slice(&kv.value).map_err(|_| kv.key);
+    Ok(records.into_iter().map(parse).collect())
 }
 
-/// What the proxy with this operator address answers on `path`.
+/// Sends `GET path` to the operator endpoint at address `operator` and decodes the JSON response.
 pub async fn get<T: DeserializeOwned>(operator: &str, path: &str) -> Result<T, reqwest::Error> {
     let answer = reqwest::Client::new()
         .get(format!("http://{operator}{path}"))
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -1,5 +1,5 @@
-//! Follows one request through the proxies' logs: its own lines, and what each proxy said about its
-//! surroundings shortly before (`docs/OPERATIONS.md`).
+//! `dpctl trace`: extracts the lines of one request from the proxies' logs, with the preceding lines
+//! on the state of each proxy (`docs/OPERATIONS.md`).
 
 use std::{
     fs::File,
@@ -10,8 +10,9 @@
 use clap::ValueEnum;
 use serde_json::Value;
 
-/// Lines that explain a request without naming it: what the process believed, and what it had lost.
-const CONTEXT: [&str; 16] = [
+/// Kinds of log lines that are printed as context: changes in the state of the proxy and its
+/// dependencies.
+const CONTEXT_KINDS: [&str; 16] = [
     "process",
     "stopping",
     "dependency",
@@ -30,23 +31,24 @@
     "connect",
 ];
 
-/// How the lines found are printed.
+/// Output formats.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum Output {
-    /// One line of text each.
+    /// Readable text, one line per log line.
     Text,
-    /// The lines as they stand in the logs.
+    /// The original JSON lines.
     Json,
 }
 
-/// One log line.
+/// A parsed log line.
 struct Line {
     text: String,
     at_ms: u64,
     fields: Value,
 }
 
-/// The lines about request `id` in `files`, with each file's context of `window_ms` before them.
+/// Returns the lines of request `id` in `files`. In each file with such lines, context lines are
+/// included from `window_ms` before the first to the last of them.
 pub fn report(
     id: &str,
     files: &[PathBuf],
@@ -64,11 +66,11 @@
         let span = first.saturating_sub(window_ms)..=*last;
         let wanted = |line: &&Line| {
             let kind = line.fields["kind"].as_str().unwrap_or_default();
-            let context = CONTEXT.contains(&kind) && span.contains(&line.at_ms);
+            let context = CONTEXT_KINDS.contains(&kind) && span.contains(&line.at_ms);
             context || line.fields["id"] == id
         };
         let lines = lines.iter().filter(wanted);
-        found.extend(lines.map(|line| show(file, line, output)));
+        found.extend(lines.map(|line| format_line(file, line, output)));
     }
     match found.is_empty() {
         true => Err(format!("no line about request {id}")),
@@ -76,7 +78,8 @@
     }
 }
 
-/// The log lines of a file; what is no log line, such as the first with the addresses, is left out.
+/// Reads a log file. Lines in other formats, such as the first one with the listen addresses, are
+/// skipped.
 fn read(file: &PathBuf) -> Result<Vec<Line>, String> {
     let failed = |error: std::io::Error| format!("cannot read {}: {error}", file.display());
     let mut lines = Vec::new();
@@ -96,7 +99,7 @@
     Ok(lines)
 }
 
-fn show(file: &std::path::Path, line: &Line, output: Output) -> String {
+fn format_line(file: &std::path::Path, line: &Line, output: Output) -> String {
     let Output::Text = output else {
         return line.text.clone();
     };
