--- a/crates/proxy/src/line/control/duty.rs
+++ b/crates/proxy/src/line/control/duty.rs
@@ -7,7 +7,7 @@
 
 use dandelionpitch_engine::duty::{claim_after, LEASE_TTL, RENEW_EVERY};
 use dandelionpitch_platform::{
-    store::{Change, Lease, Write},
+    store::{Lease, Outcome, Write},
     Error,
 };
 use serde_json::json;
@@ -136,8 +136,8 @@
         lease: Some(lease),
     };
     let token = match store.change(&[(DUTY, 0)], &[write], &[]).await {
-        Ok(Change::Done { revision }) => Some(revision),
-        Ok(Change::Conflict | Change::LeaseNotFound) => None,
+        Ok(Outcome::Done { revision }) => Some(revision),
+        Ok(Outcome::Conflict | Outcome::LeaseNotFound) => None,
         Err(_) => {
             let found = store.get(DUTY).await?;
             let own = found.filter(|item| item.value.as_slice() == control.name.as_bytes());
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -1,6 +1,6 @@
 //! Writes the record of a group to the store, and reads it back when that was refused.
 
-use dandelionpitch_platform::store::{Change, Write};
+use dandelionpitch_platform::store::{Outcome, Write};
 
 use crate::line::{
     clock,
@@ -37,7 +37,7 @@
         (key.as_str(), known.unwrap_or_default()),
     ];
     match control.store().change(&conditions, &[write], &[]).await {
-        Ok(Change::Done { revision }) => {
+        Ok(Outcome::Done { revision }) => {
             let mut records = control.records.borrow_mut();
             Noted::note(
                 service,
@@ -48,7 +48,7 @@
             );
             Ok(revision)
         }
-        Ok(Change::Conflict | Change::LeaseNotFound) => Err(Stopped::Conflict),
+        Ok(Outcome::Conflict | Outcome::LeaseNotFound) => Err(Stopped::Conflict),
         Err(error) => Err(Stopped::Store(error.to_string())),
     }
 }
--- a/crates/proxy/src/line/traffic/feed.rs
+++ b/crates/proxy/src/line/traffic/feed.rs
@@ -16,7 +16,7 @@
 /// Appends the answer to a question for changes, to a connection that stands at `stand`.
 pub async fn answer(mirror: &Handle, message: &[u8], stand: Ready, out: &mut Vec<u8>) {
     let start = out.len();
-    let told = match line::to_str(message).and_then(Request::read) {
+    let told = match line::to_str(message).and_then(Request::parse) {
         Ok(question) => tell(mirror, question, out).await,
         Err(error) => Err(error),
     };
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -214,7 +214,7 @@
     /// Reads one line; `None` when the caller has gone or sent what is no message. Safe to cancel.
     async fn line(&mut self) -> Option<bytes::Bytes> {
         loop {
-            match self.buffer.line() {
+            match self.buffer.next_line() {
                 Ok(Some(line)) => return Some(line),
                 Ok(None) => {}
                 Err(_) => return None,
