--- a/crates/core/tests/hash.rs
+++ b/crates/core/tests/hash.rs
@@ -1,11 +1,10 @@
-//! Numbers that every process derives alike from the same key.
+//! Distribution of the hashes that are equal in all processes.
 
 use dandelionpitch_core::hash::stable_hash;
 
-/// Forty proxies choose among two, each by its own order. Their names differ in the last characters only;
-/// neither of the two may get nearly all of them.
+/// Proxies whose names differ only in the last characters must not all prefer the same of two peers.
 #[test]
-fn order_by_salt_differs_from_proxy_to_proxy() {
+fn order_by_stable_hash_differs_between_proxies() {
     let prefers_first = |own: &String| {
         let first = stable_hash(&(own, "edge-riga-centrs-12"));
         let second = stable_hash(&(own, "edge-riga-centrs-31"));
