--- a/crates/core/src/kv.rs
+++ b/crates/core/src/kv.rs
@@ -83,8 +83,8 @@
     /// Returns the era of a response and records it as the latest seen.
     ///
     /// Returns an error for a delayed response of an earlier era.
-    fn era_of(&self, answer: &reqwest::Response) -> Result<u64, Error> {
-        let header = answer.headers().get(ERA_HEADER);
+    fn era_of(&self, response: &reqwest::Response) -> Result<u64, Error> {
+        let header = response.headers().get(ERA_HEADER);
         let header = header.and_then(|era| era.to_str().ok()?.trim().parse().ok());
         // A KV that was never restored may omit the header.
         let era = header.unwrap_or_default();
@@ -101,31 +101,33 @@
         A: serde::de::DeserializeOwned,
     {
         let url = format!("{}{path}", self.endpoint);
-        let answer = self
+        let response = self
             .http
             .post(url)
             .timeout(CALL_TIMEOUT)
             .json(request)
             .send()
             .await?;
-        let era = self.era_of(&answer)?;
-        let answer = answer.error_for_status()?;
-        Ok((era, answer.json().await?))
+        let era = self.era_of(&response)?;
+        let response = response.error_for_status()?;
+        Ok((era, response.json().await?))
     }
 
     /// Reads one key; returns `None` if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, Error> {
         let request = wire::RangeRequest::key(key);
-        let (era, answer): (u64, wire::RangeResponse) = self.call("/v3/kv/range", &request).await?;
-        let mut kvs = answer.into_values(era)?;
+        let (era, response): (u64, wire::RangeResponse) =
+            self.call("/v3/kv/range", &request).await?;
+        let mut kvs = response.into_values(era)?;
         Ok(kvs.pop())
     }
 
     /// Reads every key that starts with `prefix`.
     pub async fn list(&self, prefix: &str) -> Result<Vec<KeyValue>, Error> {
         let request = wire::RangeRequest::prefix(prefix);
-        let (era, answer): (u64, wire::RangeResponse) = self.call("/v3/kv/range", &request).await?;
-        answer.into_values(era)
+        let (era, response): (u64, wire::RangeResponse) =
+            self.call("/v3/kv/range", &request).await?;
+        response.into_values(era)
     }
 
     /// Writes `value` under `key`, attached to `lease` if given, and returns the stamp of the write.
@@ -134,8 +136,8 @@
             return Err(Error::KvAnswer("lease of an earlier era".to_owned()));
         }
         let request = wire::PutRequest::new(key, value, lease.map(|lease| lease.id));
-        let (era, answer): (u64, wire::PutResponse) = self.call("/v3/kv/put", &request).await?;
-        Ok(era::stamp(era, answer.header.revision))
+        let (era, response): (u64, wire::PutResponse) = self.call("/v3/kv/put", &request).await?;
+        Ok(era::stamp(era, response.header.revision))
     }
 
     /// Writes `value` under `key` if the key was last written at the stamp `mod_revision`; zero
@@ -151,12 +153,12 @@
         }
         let before = self.era();
         let request = wire::TxnRequest::put_if(key, value, era::revision(mod_revision));
-        let (era, answer): (u64, wire::TxnResponse) = self.call("/v3/kv/txn", &request).await?;
+        let (era, response): (u64, wire::TxnResponse) = self.call("/v3/kv/txn", &request).await?;
         // The KV was restored meanwhile: a reused revision may have matched.
         let era_changed = mod_revision != 0 && era != before;
-        Ok(match answer.succeeded && !era_changed {
+        Ok(match response.succeeded && !era_changed {
             true => Swap::Done {
-                revision: era::stamp(era, answer.header.revision),
+                revision: era::stamp(era, response.header.revision),
             },
             false => Swap::Conflict,
         })
@@ -165,9 +167,12 @@
     /// Requests a lease of `ttl` seconds.
     pub async fn grant(&self, ttl: u64) -> Result<Lease, Error> {
         let request = wire::LeaseGrantRequest { ttl, id: 0 };
-        let (era, answer): (u64, wire::LeaseGrantResponse) =
+        let (era, response): (u64, wire::LeaseGrantResponse) =
             self.call("/v3/lease/grant", &request).await?;
-        Ok(Lease { era, id: answer.id })
+        Ok(Lease {
+            era,
+            id: response.id,
+        })
     }
 
     /// Renews a lease; returns the remaining seconds, or zero if it has expired.
@@ -176,11 +181,11 @@
             return Ok(0);
         }
         let request = wire::LeaseKeepAliveRequest { id: lease.id };
-        let (era, answer): (u64, wire::LeaseKeepAliveResponse) =
+        let (era, response): (u64, wire::LeaseKeepAliveResponse) =
             self.call("/v3/lease/keepalive", &request).await?;
         // In a later era the number may belong to another lease.
         Ok(match era == lease.era {
-            true => answer.result.ttl,
+            true => response.result.ttl,
             false => 0,
         })
     }
@@ -198,17 +203,17 @@
         let request = wire::WatchRequest::new(range, era::revision(start_revision));
         let url = format!("{}/v3/watch", self.endpoint);
         let open = self.http.post(url).json(&request).send();
-        let answer = tokio::time::timeout(CALL_TIMEOUT, open)
+        let response = tokio::time::timeout(CALL_TIMEOUT, open)
             .await
             .map_err(|_| Error::KvAnswer("timeout opening a watch".to_owned()))??;
-        let era = self.era_of(&answer)?;
+        let era = self.era_of(&response)?;
         if start_revision != 0 && era != era::of(start_revision) {
             return Err(earlier_era());
         }
-        let answer = answer.error_for_status()?;
+        let response = response.error_for_status()?;
         Ok(Watch {
             era,
-            body: Box::pin(answer.bytes_stream()),
+            body: Box::pin(response.bytes_stream()),
             buffer: Vec::new(),
         })
     }
@@ -235,9 +240,9 @@
                 if line.iter().all(u8::is_ascii_whitespace) {
                     continue;
                 }
-                let answer: wire::WatchResponse = serde_json::from_slice(&line)
+                let response: wire::WatchResponse = serde_json::from_slice(&line)
                     .map_err(|error| Error::KvAnswer(error.to_string()))?;
-                return answer.result.into_events(self.era).map(Some);
+                return response.result.into_events(self.era).map(Some);
             }
             match tokio::time::timeout(WATCH_TIMEOUT, self.body.next()).await {
                 Ok(Some(chunk)) => self.buffer.extend_from_slice(&chunk?),
--- a/crates/core/src/vms.rs
+++ b/crates/core/src/vms.rs
@@ -53,13 +53,13 @@
         if let Some(etag) = &self.etag {
             request = request.header(IF_NONE_MATCH, etag);
         }
-        let answer = request.send().await?.error_for_status()?;
-        if answer.status() == StatusCode::NOT_MODIFIED {
+        let response = request.send().await?.error_for_status()?;
+        if response.status() == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
-        let etag = answer.headers().get(ETAG);
+        let etag = response.headers().get(ETAG);
         let etag = etag.and_then(|etag| Some(etag.to_str().ok()?.to_owned()));
-        let list = answer.json().await?;
+        let list = response.json().await?;
         self.etag = etag;
         Ok(Some(list))
     }
--- a/crates/ctl/src/burn.rs
+++ b/crates/ctl/src/burn.rs
@@ -1,8 +1,8 @@
 //! `dpctl burn`: reports the burn rate of the error budget.
 //!
-//! The burn rate is the ratio of failed statements divided by the ratio that the objective allows.
-//! At a rate of 1, the error budget lasts exactly for its period; at 10, for a tenth of it. A
-//! statement has failed if the proxy answered "not run" or "outcome unknown".
+//! The burn rate is the ratio of failed statements to all statements, divided by the ratio that the
+//! objective allows. At a rate of 1, the error budget lasts exactly for its period; at 10, for a
+//! tenth of it. A statement has failed if the proxy answered "not run" or "outcome unknown".
 
 use std::{ops::Sub, time::Duration};
 
@@ -38,7 +38,7 @@
 }
 
 impl Statements {
-    fn of(metrics: &[Metric]) -> Self {
+    fn from_metrics(metrics: &[Metric]) -> Self {
         let mut count = Self::default();
         for metric in metrics.iter().filter(|metric| metric.name == "statements") {
             count.total += metric.value;
@@ -96,15 +96,21 @@
             lines.push(format!("{:<16} {:<8} no answer", proxy.id, proxy.dc));
             continue;
         };
-        lines.push(line(&proxy.id, &proxy.dc, after, after - before, objective));
+        lines.push(format_row(
+            &proxy.id,
+            &proxy.dc,
+            after,
+            after - before,
+            objective,
+        ));
         all_start = add(all_start, after);
         all_window = add(all_window, after - before);
     }
-    lines.push(line("all", "", all_start, all_window, objective));
+    lines.push(format_row("all", "", all_start, all_window, objective));
     Ok(lines.join("\n"))
 }
 
-fn line(id: &str, dc: &str, start: Statements, window: Statements, objective: f64) -> String {
+fn format_row(id: &str, dc: &str, start: Statements, window: Statements, objective: f64) -> String {
     let (start, window) = (start.columns(objective), window.columns(objective));
     format!("{id:<16} {dc:<8} {start} | {window}")
 }
@@ -119,7 +125,7 @@
 async fn counts(proxies: &[Heartbeat]) -> Vec<Option<Statements>> {
     let reads = proxies.iter().map(|proxy| async {
         let metrics: Vec<Metric> = proxy::get(&proxy.operator, "/metrics").await.ok()?;
-        Some(Statements::of(&metrics))
+        Some(Statements::from_metrics(&metrics))
     });
     futures::future::join_all(reads).await
 }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -30,8 +30,8 @@
         #[arg(long, default_value = "http://127.0.0.1:2379")]
         kv: String,
     },
-    /// Report the burn rate of the error budget: the ratio of failed statements divided by the
-    /// ratio that the objective allows.
+    /// Report the burn rate of the error budget: the ratio of failed statements to all statements,
+    /// divided by the ratio that the objective allows.
     Burn {
         /// The platform KV endpoint.
         #[arg(long, default_value = "http://127.0.0.1:2379")]
--- a/crates/ctl/src/proxy.rs
+++ b/crates/ctl/src/proxy.rs
@@ -23,10 +23,10 @@
 
 /// Sends `GET path` to the operator endpoint at address `operator` and decodes the JSON response.
 pub async fn get<T: DeserializeOwned>(operator: &str, path: &str) -> Result<T, reqwest::Error> {
-    let answer = reqwest::Client::new()
+    let response = reqwest::Client::new()
         .get(format!("http://{operator}{path}"))
         .timeout(kv::CALL_TIMEOUT)
         .send()
         .await?;
-    answer.error_for_status()?.json().await
+    response.error_for_status()?.json().await
 }
