--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -235,7 +235,10 @@
             Origin::Peer => peer::parse_message(text),
             Origin::Caller => caller::parse_request(text).map(Message::from),
         });
-        let Message { terms, request } = match message {
+        let Message {
+            requirements,
+            request,
+        } = match message {
             Ok(message) => message,
             Err(error) => {
                 let refusal = Refusal::new(Code::Syntax, error.to_string());
@@ -258,7 +261,9 @@
                 statement,
             } => {
                 let under_way = UnderWay::new(&self.shared.open, self.origin);
-                let result = self.statement(id, text, &statement, terms, arrived).await;
+                let result = self
+                    .statement(id, text, &statement, requirements, arrived)
+                    .await;
                 drop(under_way);
                 self.answer(id, arrived, result);
             }
