--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -58,16 +58,16 @@
     let mut found = Vec::new();
     for file in files {
         let lines = read(file)?;
-        let about = lines.iter().filter(|line| line.fields["id"] == id);
-        let times: Vec<u64> = about.map(|line| line.at_ms).collect();
+        let own_lines = lines.iter().filter(|line| line.fields["id"] == id);
+        let times: Vec<u64> = own_lines.map(|line| line.at_ms).collect();
         let (Some(first), Some(last)) = (times.iter().min(), times.iter().max()) else {
             continue;
         };
         let span = first.saturating_sub(window_ms)..=*last;
         let wanted = |line: &&Line| {
             let kind = line.fields["kind"].as_str().unwrap_or_default();
-            let context = CONTEXT_KINDS.contains(&kind) && span.contains(&line.at_ms);
-            context || line.fields["id"] == id
+            let is_context = CONTEXT_KINDS.contains(&kind) && span.contains(&line.at_ms);
+            is_context || line.fields["id"] == id
         };
         let lines = lines.iter().filter(wanted);
         found.extend(lines.map(|line| format_line(file, line, output)));
