--- a/crates/core/src/kv.rs
+++ b/crates/core/src/kv.rs
@@ -142,12 +142,7 @@
 
     /// Writes `value` under `key` if the key was last written at the stamp `mod_revision`; zero
     /// requires that the key does not exist.
-    pub async fn compare_and_swap(
-        &self,
-        key: &str,
-        value: &[u8],
-        mod_revision: u64,
-    ) -> Result<Swap, Error> {
+    pub async fn put_if(&self, key: &str, value: &[u8], mod_revision: u64) -> Result<Swap, Error> {
         if !self.is_current(mod_revision) {
             return Ok(Swap::Conflict);
         }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -79,10 +79,7 @@
             bundle.version
         ));
     }
-    match kv
-        .compare_and_swap(keys::BUNDLE, text.as_bytes(), revision)
-        .await
-    {
+    match kv.put_if(keys::BUNDLE, text.as_bytes(), revision).await {
         Ok(Swap::Done { .. }) => Ok(format!("version {} is in the KV", bundle.version)),
         Ok(Swap::Conflict) => {
             Err("refused: the bundle was changed meanwhile; review it and try again".to_owned())
--- a/crates/e2e/tests/lists.rs
+++ b/crates/e2e/tests/lists.rs
@@ -261,9 +261,7 @@
     let kv = kv::Client::new(site.kv_url());
     let key = keys::primary("ledger");
     let now = kv.get(&key).await.expect("the KV").expect("a record");
-    let swap = kv
-        .compare_and_swap(&key, b"not a record", now.mod_revision)
-        .await;
+    let swap = kv.put_if(&key, b"not a record", now.mod_revision).await;
     site.restart_proxies();
     take_out(&site, 2, &[2]).await;
     site.fault(2, "kill", 0, "").await;
--- a/crates/e2e/tests/terms.rs
+++ b/crates/e2e/tests/terms.rs
@@ -27,9 +27,7 @@
         claimant: "proxy-paused".to_owned(),
         members: recorded.members,
     };
-    let swap = kv
-        .compare_and_swap(&key, &claim.to_value(), now.mod_revision)
-        .await;
+    let swap = kv.put_if(&key, &claim.to_value(), now.mod_revision).await;
     assert!(matches!(swap, Ok(Swap::Done { .. })));
     claim.term
 }
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -302,11 +302,7 @@
     /// record is read back, and only one equal to ours, which names this proxy, is a success.
     async fn write(&self, record: Record, revision: u64) -> Result<u64, Error> {
         let key = keys::primary(&self.group);
-        let failure = match self
-            .kv
-            .compare_and_swap(&key, &record.to_value(), revision)
-            .await
-        {
+        let failure = match self.kv.put_if(&key, &record.to_value(), revision).await {
             Ok(Swap::Done { revision }) => return Ok(revision),
             Ok(Swap::Conflict) => return Err(Error::Moved),
             Err(error) => error,
