--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -236,7 +236,7 @@
             Origin::Caller => caller::parse_request(text).map(Message::from),
         });
         let Message {
-            requirements,
+            requirements: terms,
             request,
         } = match message {
             Ok(message) => message,
@@ -261,9 +261,7 @@
                 statement,
             } => {
                 let under_way = UnderWay::new(&self.shared.open, self.origin);
-                let result = self
-                    .statement(id, text, &statement, requirements, arrived)
-                    .await;
+                let result = self.statement(id, text, &statement, terms, arrived).await;
                 drop(under_way);
                 self.answer(id, arrived, result);
             }
