--- a/crates/engine/src/delta.rs
+++ b/crates/engine/src/delta.rs
@@ -35,7 +35,7 @@
     pub fn new(base_revision: u64, old: &[u8], new: &[u8]) -> Self {
         Self {
             base_revision,
-            checksum: hash::salt(&new),
+            checksum: hash::stable_hash(&new),
             pieces: diff(old, new),
         }
     }
@@ -44,7 +44,7 @@
     /// delta's base, or if the checksum does not match.
     pub fn apply(&self, at: u64, old: &[u8]) -> Option<Vec<u8>> {
         let value = apply(old, &self.pieces).filter(|_| at == self.base_revision)?;
-        (hash::salt(&value.as_slice()) == self.checksum).then_some(value)
+        (hash::stable_hash(&value.as_slice()) == self.checksum).then_some(value)
     }
 }
 
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -48,7 +48,7 @@
 /// each change to all its followers.
 pub fn relays<'a>(peers: &'a [Peer], dc: &str) -> Vec<&'a Peer> {
     let mut local: Vec<&Peer> = peers.iter().filter(|peer| peer.dc == dc).collect();
-    local.sort_by_cached_key(|peer| (Reverse(peer.capacity as u64), hash::salt(&peer.id)));
+    local.sort_by_cached_key(|peer| (Reverse(peer.capacity as u64), hash::stable_hash(&peer.id)));
     local.truncate(RELAYS_PER_DC);
     local
 }
@@ -93,7 +93,7 @@
 
 /// Orders the proxies differently for each follower, which spreads followers over relays.
 fn order_by_hash(mut peers: Vec<&Peer>, own: &str) -> Vec<Source> {
-    peers.sort_by_cached_key(|peer| hash::salt(&(own, &peer.id)));
+    peers.sort_by_cached_key(|peer| hash::stable_hash(&(own, &peer.id)));
     let sources = peers.into_iter().map(|peer| Source::Peer(peer.id.clone()));
     sources.collect()
 }
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -232,7 +232,7 @@
 
 /// A proxy's score for a group; the proxies with the highest scores are its owners.
 fn score(peer: &Peer, service: &str) -> f64 {
-    let share = hash::share(&(service, &peer.id)).clamp(1e-9, 1.0 - 1e-9);
+    let share = hash::stable_fraction(&(service, &peer.id)).clamp(1e-9, 1.0 - 1e-9);
     -peer.capacity / share.ln()
 }
 
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -109,7 +109,7 @@
 ) {
     let kv = kv::Client::new(&config.kv);
     let (tx, mut rx) = mpsc::channel(QUEUE_CAPACITY);
-    let salt = backoff::salt(&config.id);
+    let salt = backoff::stable_hash(&config.id);
     tokio::spawn(kv_watch::run(kv.clone(), salt, tx.clone()));
     if let Some(url) = &config.vms {
         tokio::spawn(vms::run(url.clone(), tx.clone()));
--- a/crates/proxy/src/control/assignment.rs
+++ b/crates/proxy/src/control/assignment.rs
@@ -87,7 +87,7 @@
         self.missing.remove(&member);
         let dc = self.dcs.entry(member.dc.clone()).or_default();
         if dc.iter().all(|entry| entry.member != member) {
-            let seed = backoff::salt(&member);
+            let seed = backoff::stable_hash(&member);
             dc.push(Entry { member, seed });
             self.count += 1;
         }
@@ -106,7 +106,7 @@
     /// The watchers of `group`: first the highest ranked proxy of each data centre, so that the loss
     /// of a data centre leaves watchers in others, then the second ranked ones, and so on.
     pub fn watchers(&self, group: &str) -> Vec<&Member> {
-        let seed = backoff::salt(&group);
+        let seed = backoff::stable_hash(&group);
         let best = self.dcs.values().map(|dc| top_ranked(dc, seed));
         let mut ranked: Vec<(usize, Reverse<u64>, &Member)> = best
             .flat_map(|best| best.into_iter().enumerate())
@@ -130,7 +130,7 @@
 fn top_ranked(dc: &[Entry], seed: u64) -> Vec<(u64, &Entry)> {
     let mut best: Vec<(u64, &Entry)> = Vec::with_capacity(WATCHERS_PER_GROUP + 1);
     for entry in dc {
-        let weight = backoff::salt(&(seed, entry.seed));
+        let weight = backoff::stable_hash(&(seed, entry.seed));
         if best.len() == WATCHERS_PER_GROUP && best[WATCHERS_PER_GROUP - 1].0 >= weight {
             continue;
         }
--- a/crates/proxy/src/control/backoff.rs
+++ b/crates/proxy/src/control/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-pub use dandelionpitch_core::hash::{salt, share};
+pub use dandelionpitch_core::hash::{stable_fraction, stable_hash};
 
 /// The delays after successive failures: each doubles up to `longest`, less a jitter of at most
 /// half. The jitter depends on the salt and the failure count, so that proxies that failed at the
@@ -41,6 +41,6 @@
         let doubled = self.first.saturating_mul(1 << self.failures.min(16));
         let limit = doubled.min(self.longest);
         self.failures = self.failures.saturating_add(1);
-        limit - limit.mul_f64(share(&(self.salt, self.failures)) / 2.0)
+        limit - limit.mul_f64(stable_fraction(&(self.salt, self.failures)) / 2.0)
     }
 }
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -181,7 +181,7 @@
     }
 
     fn monitor_mut(&mut self, group: &str, now: Instant) -> &mut Monitor {
-        let salt = backoff::salt(&self.config.id);
+        let salt = backoff::stable_hash(&self.config.id);
         self.groups
             .entry(group.to_owned())
             .or_insert_with(|| Monitor {
@@ -199,7 +199,7 @@
     /// A record that lacks a voter is written without delay: until then, a proxy that starts after
     /// the voter is removed from the bundle does not know of it.
     fn delay(&self, group: &str, decision: Decision, unrecorded_voter: bool) -> Duration {
-        let share = backoff::share(&(&self.config.id, group));
+        let share = backoff::stable_fraction(&(&self.config.id, group));
         let spread = self.config.failover.spread.mul_f64(share);
         match decision {
             Decision::Healthy | Decision::Undecided | Decision::Failed | Decision::Leaving => {
@@ -303,9 +303,9 @@
     /// as the claimant: two proxies never own the same term.
     async fn write(&self, record: Record, revision: u64) -> Result<u64, Error> {
         let key = keys::primary(&self.group);
-        let failure = match self.kv.swap(&key, &record.to_value(), revision).await {
+        let failure = match self.kv.put_if(&key, &record.to_value(), revision).await {
             Ok(Swap::Done { revision }) => return Ok(revision),
-            Ok(Swap::Moved) => return Err(Error::Conflict),
+            Ok(Swap::Conflict) => return Err(Error::Conflict),
             Err(error) => error,
         };
         match self.kv.get(&key).await? {
--- a/crates/proxy/src/control/kv_watch.rs
+++ b/crates/proxy/src/control/kv_watch.rs
@@ -92,7 +92,7 @@
 
 /// Returns the proxy that the key of a heartbeat record names, `None` for other keys.
 fn member(key: &str) -> Option<Member> {
-    let (dc, id) = keys::proxy_parts(key)?;
+    let (dc, id) = keys::parse_proxy_key(key)?;
     Some(Member {
         dc: dc.to_owned(),
         id: id.to_owned(),
--- a/crates/proxy/src/line/control/duty.rs
+++ b/crates/proxy/src/line/control/duty.rs
@@ -7,7 +7,7 @@
 
 use dandelionpitch_engine::election::{claim_delay, LEASE_TTL, RENEW_INTERVAL};
 use dandelionpitch_platform::{
-    store::{Change, Lease, Write},
+    store::{Lease, Outcome, Write},
     Error,
 };
 use serde_json::json;
@@ -91,7 +91,7 @@
         None if control.duty.borrow().may_claim(clock::now())
             && !control.stopping.is_cancelled() =>
         {
-            let share = backoff::share(&(&control.name, clock::now().millis()));
+            let share = backoff::stable_fraction(&(&control.name, clock::now().millis()));
             let age = clock::now().since(control.started);
             let feeds = control.place.borrow().is_relay;
             tokio::time::sleep(SPREAD.mul_f64(share) + claim_delay(age, feeds)).await;
@@ -136,8 +136,8 @@
         lease: Some(lease),
     };
     let token = match store.change(&[(DUTY, 0)], &[write], &[]).await {
-        Ok(Change::Done { revision }) => Some(revision),
-        Ok(Change::Conflict | Change::LeaseGone) => None,
+        Ok(Outcome::Done { revision }) => Some(revision),
+        Ok(Outcome::Conflict | Outcome::LeaseNotFound) => None,
         Err(_) => {
             let found = store.get(DUTY).await?;
             let own = found.filter(|item| item.value.as_slice() == control.name.as_bytes());
