--- a/crates/proxy/src/announce.rs
+++ b/crates/proxy/src/announce.rs
@@ -6,7 +6,7 @@
 };
 
 /// Prints the bound addresses as JSON, for scripts and tests.
-pub fn addresses(listen: SocketAddr, operator: SocketAddr) {
+pub fn print_addresses(listen: SocketAddr, operator: SocketAddr) {
     let mut out = io::stdout().lock();
     let line = format!("{{\"listen\":\"{listen}\",\"operator\":\"{operator}\"}}");
     // Whoever started the process may not read it, which is no reason not to serve.
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -71,7 +71,7 @@
     let check_limit = config.backend.status_timeout;
     let drain_limit = config.drain_limit;
     control::spawn(config, addresses, metrics.clone(), publish);
-    crate::announce::addresses(listen, operator_address);
+    crate::announce::print_addresses(listen, operator_address);
     log::info!(target: "daemon", "Listening for callers on {listen}, operators on {operator_address}.");
     let shared = Arc::new(Shared {
         view,
--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line.rs
@@ -85,7 +85,7 @@
     let operator = operator
         .await
         .map_err(|_| Error::Listen(std::io::Error::other("operator endpoint did not start")))?;
-    crate::announce::addresses(listen, operator);
+    crate::announce::print_addresses(listen, operator);
     journal::start();
     journal::process("start", &config.id, &listen.to_string());
     let suspicion = reach::Suspicion::default();
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -244,7 +244,7 @@
                 Some(server)
             }
             Err(error) => {
-                self.metrics.entry_passed_over();
+                self.metrics.invalid_entry();
                 let known =
                     unreadable.len() >= MOST_UNREADABLE || !unreadable.insert(id.to_owned());
                 if !known {
@@ -258,7 +258,7 @@
     /// Reads another proxy's entry; one that is none still counts as a proxy, but gets no statements.
     fn read_peer(&self, name: &str, value: &[u8]) -> Option<Peer> {
         entry::peer(name, value).unwrap_or_else(|error| {
-            self.metrics.entry_passed_over();
+            self.metrics.invalid_entry();
             journal::trouble("member", &format!("{name}: {error}"));
             None
         })
--- a/crates/proxy/src/line/operator.rs
+++ b/crates/proxy/src/line/operator.rs
@@ -130,5 +130,5 @@
     rocket::custom(operator::figment(address))
         .manage(context)
         .mount("/", routes![ready, status, metrics])
-        .attach(operator::tell_bound(bound))
+        .attach(operator::report_bound_address(bound))
 }
--- a/crates/proxy/src/line/traffic/handover.rs
+++ b/crates/proxy/src/line/traffic/handover.rs
@@ -80,7 +80,7 @@
     call: &Call<'_>,
 ) -> Result<Success, Failure> {
     let checkout = checkout_peer(&shared.peers, peer, session, call).await?;
-    shared.metrics.handed_over();
+    shared.metrics.forwarded();
     let terms = Terms::new(call.route, call.waited(), session.floor());
     let asked = clock::now();
     let (answer, checkout) = exchange(checkout, peer, call, Condition::Terms(&terms)).await;
@@ -206,7 +206,7 @@
         let Ok(mut checkout) = checkout_peer(&shared.peers, peer, session, call).await else {
             continue;
         };
-        shared.metrics.handed_over();
+        shared.metrics.forwarded();
         let terms = Terms::new(call.route, call.waited(), session.floor());
         let begin = Query::Begin {
             read_only: transaction.read_only,
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -36,8 +36,8 @@
     attempts: Counter<u64>,
     connections: Counter<u64>,
     store_errors: Counter<u64>,
-    entries_passed_over: Counter<u64>,
-    handed_over: Counter<u64>,
+    invalid_entries: Counter<u64>,
+    forwarded: Counter<u64>,
     log_lines_dropped: Gauge<u64>,
     version: Gauge<u64>,
     changes_age: Gauge<u64>,
@@ -57,9 +57,9 @@
     Replica,
 }
 
-/// One figure as `/metrics` shows it.
+/// One sample as `/metrics` shows it.
 #[derive(Debug, Serialize)]
-pub struct Figure {
+pub struct Sample {
     pub name: String,
     pub attributes: Vec<(String, String)>,
     pub value: f64,
@@ -113,8 +113,8 @@
             attempts: meter.u64_counter("attempts").build(),
             connections: meter.u64_counter("connections_opened").build(),
             store_errors: meter.u64_counter("store_errors").build(),
-            entries_passed_over: meter.u64_counter("entries_passed_over").build(),
-            handed_over: meter.u64_counter("statements_handed_over").build(),
+            invalid_entries: meter.u64_counter("entries_passed_over").build(),
+            forwarded: meter.u64_counter("statements_handed_over").build(),
             log_lines_dropped: meter.u64_gauge("log_lines_dropped").build(),
             changes_age: meter.u64_gauge("store_changes_age_ms").build(),
             store_era: meter.u64_gauge("store_era").build(),
@@ -187,13 +187,13 @@
     }
 
     /// Counts an entry of the store that names no server, or no proxy.
-    pub fn entry_passed_over(&self) {
-        self.entries_passed_over.add(1, &[]);
+    pub fn invalid_entry(&self) {
+        self.invalid_entries.add(1, &[]);
     }
 
     /// Counts a statement that another proxy runs for this one.
-    pub fn handed_over(&self) {
-        self.handed_over.add(1, &[]);
+    pub fn forwarded(&self) {
+        self.forwarded.add(1, &[]);
     }
 
     /// Notes how many log lines were left out because standard output was not read.
@@ -221,11 +221,11 @@
         self.pool_wait.record(seconds, &[]);
     }
 
-    /// The current figures as text, one a line: name, attributes in braces, value.
+    /// The current samples as text, one a line: name, attributes in braces, value.
     pub fn text(&self) -> String {
         let mut out = String::new();
-        for figure in self.figures() {
-            let attributes: Vec<String> = figure
+        for sample in self.samples() {
+            let attributes: Vec<String> = sample
                 .attributes
                 .iter()
                 .map(|(key, value)| format!("{key}={value:?}"))
@@ -234,27 +234,27 @@
             let _ = writeln!(
                 out,
                 "{}{{{}}} {}",
-                figure.name,
+                sample.name,
                 attributes.join(","),
-                figure.value
+                sample.value
             );
         }
         out
     }
 
-    /// The current figures: sums as their value, histograms as their count and sum.
-    pub fn figures(&self) -> Vec<Figure> {
+    /// The current samples: sums as their value, histograms as their count and sum.
+    pub fn samples(&self) -> Vec<Sample> {
         let mut collected = ResourceMetrics::default();
         if self.reader.collect(&mut collected).is_err() {
             return Vec::new();
         }
-        let mut figures = Vec::new();
+        let mut samples = Vec::new();
         for scope in collected.scope_metrics() {
             for metric in scope.metrics() {
-                push(&mut figures, metric.name(), metric.data());
+                push(&mut samples, metric.name(), metric.data());
             }
         }
-        figures
+        samples
     }
 }
 
@@ -269,7 +269,7 @@
 
 /// The counts of a histogram's buckets, each with those below it, as scrapers expect them.
 fn push_buckets(
-    figures: &mut Vec<Figure>,
+    samples: &mut Vec<Sample>,
     name: &str,
     base: &[(String, String)],
     bounds: impl Iterator<Item = f64>,
@@ -281,7 +281,7 @@
         below += count;
         let mut attributes = base.to_vec();
         attributes.push(("le".to_owned(), bound));
-        figures.push(Figure {
+        samples.push(Sample {
             name: format!("{name}_bucket"),
             attributes,
             value: below as f64,
@@ -289,11 +289,11 @@
     }
 }
 
-fn push(figures: &mut Vec<Figure>, name: &str, data: &AggregatedMetrics) {
+fn push(samples: &mut Vec<Sample>, name: &str, data: &AggregatedMetrics) {
     match data {
         AggregatedMetrics::U64(MetricData::Sum(sum)) => {
             for point in sum.data_points() {
-                figures.push(Figure {
+                samples.push(Sample {
                     name: name.to_owned(),
                     attributes: attributes(point.attributes()),
                     value: point.value() as f64,
@@ -302,7 +302,7 @@
         }
         AggregatedMetrics::U64(MetricData::Gauge(gauge)) => {
             for point in gauge.data_points() {
-                figures.push(Figure {
+                samples.push(Sample {
                     name: name.to_owned(),
                     attributes: attributes(point.attributes()),
                     value: point.value() as f64,
@@ -312,13 +312,13 @@
         AggregatedMetrics::F64(MetricData::Histogram(histogram)) => {
             for point in histogram.data_points() {
                 let base = attributes(point.attributes());
-                push_buckets(figures, name, &base, point.bounds(), point.bucket_counts());
-                figures.push(Figure {
+                push_buckets(samples, name, &base, point.bounds(), point.bucket_counts());
+                samples.push(Sample {
                     name: format!("{name}_count"),
                     attributes: base.clone(),
                     value: point.count() as f64,
                 });
-                figures.push(Figure {
+                samples.push(Sample {
                     name: format!("{name}_sum"),
                     attributes: base,
                     value: point.sum(),
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    metrics::{Figure, Metrics},
+    metrics::{Metrics, Sample},
     view::View,
 };
 
@@ -100,8 +100,8 @@
 }
 
 #[get("/metrics")]
-fn metrics(context: &State<Context>) -> Json<Vec<Figure>> {
-    Json(context.metrics.figures())
+fn metrics(context: &State<Context>) -> Json<Vec<Sample>> {
+    Json(context.metrics.samples())
 }
 
 /// How every operator endpoint is served: the daemon handles signals and logs itself.
@@ -116,7 +116,7 @@
 }
 
 /// Sends the address that the endpoint is bound to once it listens.
-pub fn tell_bound(bound: oneshot::Sender<SocketAddr>) -> rocket::fairing::AdHoc {
+pub fn report_bound_address(bound: oneshot::Sender<SocketAddr>) -> rocket::fairing::AdHoc {
     let bound = std::sync::Mutex::new(Some(bound));
     rocket::fairing::AdHoc::on_liftoff("bound", move |rocket| {
         let config = rocket.config();
@@ -148,7 +148,7 @@
             metrics,
         })
         .mount("/", routes![status, ready, metrics])
-        .attach(tell_bound(bound))
+        .attach(report_bound_address(bound))
         .launch()
         .await?;
     Ok(())
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -51,26 +51,26 @@
 
 /// A value a session has set, and the statement that sets it again on another connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Value {
+pub struct Variable {
     pub name: String,
     pub statement: String,
 }
 
 /// The kind of a query string, the command tag of each statement in it, and what it sets.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Analysis {
     pub kind: Kind,
     pub tags: Vec<&'static str>,
-    pub values: Vec<Value>,
+    pub variables: Vec<Variable>,
 }
 
 /// Classifies a query string.
-pub fn plan(query: &str) -> Plan {
+pub fn analyze(query: &str) -> Analysis {
     let Ok(statements) = Parser::parse_sql(&PostgreSqlDialect {}, query) else {
-        return Plan {
+        return Analysis {
             kind: Kind::Unparsed,
             tags: Vec::new(),
-            values: Vec::new(),
+            variables: Vec::new(),
         };
     };
     let tags = statements.iter().map(tag).collect();
@@ -79,12 +79,16 @@
         many if many.iter().all(is_read) => Kind::Read,
         many => script(many),
     };
-    let values = statements.iter().filter_map(value).collect();
-    Plan { kind, tags, values }
+    let variables = statements.iter().filter_map(session_variable).collect();
+    Analysis {
+        kind,
+        tags,
+        variables,
+    }
 }
 
 /// What a statement sets for the rest of the session; `SET LOCAL` ends with its transaction.
-fn value(statement: &Statement) -> Option<Value> {
+fn session_variable(statement: &Statement) -> Option<Variable> {
     let Statement::Set(set) = statement else {
         return None;
     };
@@ -97,7 +101,7 @@
         Set::SingleAssignment { variable, .. } => variable.to_string(),
         other => other.to_string(),
     };
-    Some(Value {
+    Some(Variable {
         name,
         statement: statement.to_string(),
     })
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -41,7 +41,7 @@
 use self::{connection::Connection, refusal::Refusal};
 use crate::{
     metrics::Metrics,
-    route::{self, Kind, Plan, Value, POSITION_SETTING},
+    route::{self, Analysis, Kind, Variable, POSITION_SETTING},
     view::View,
 };
 
@@ -100,18 +100,18 @@
     floor: Option<Position>,
     transaction: Transaction,
     /// What the session has set, in the order it did.
-    values: Arc<Vec<Value>>,
+    variables: Arc<Vec<Variable>>,
 }
 
 impl State {
     /// Notes what a query string that succeeded has set.
-    fn keep(&mut self, set: &[Value]) {
+    fn keep(&mut self, set: &[Variable]) {
         if set.is_empty() {
             return;
         }
-        let values = Arc::make_mut(&mut self.values);
-        values.retain(|old| set.iter().all(|new| new.name != old.name));
-        values.extend_from_slice(set);
+        let variables = Arc::make_mut(&mut self.variables);
+        variables.retain(|old| set.iter().all(|new| new.name != old.name));
+        variables.extend_from_slice(set);
     }
 }
 
@@ -119,9 +119,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Call<'a> {
     query: &'a str,
-    plan: &'a Plan,
+    analysis: &'a Analysis,
     caller: &'a Caller,
-    values: &'a [Value],
+    variables: &'a [Variable],
     deadline: Instant,
 }
 
@@ -153,21 +153,21 @@
         none && !self.answering.load(Ordering::SeqCst)
     }
 
-    async fn run(&self, query: &str, plan: &Plan) -> Answer {
+    async fn run(&self, query: &str, analysis: &Analysis) -> Answer {
         let mut state = self.state.lock().await;
         let caller = self.caller(&mut state)?;
-        let values = state.values.clone();
+        let variables = state.variables.clone();
         let call = Call {
             query,
-            plan,
+            analysis,
             caller: &caller,
-            values: &values,
+            variables: &variables,
             deadline: Instant::now() + caller.timeout,
         };
         match std::mem::take(&mut state.transaction) {
             Transaction::None => self.outside(&mut state, call).await,
             Transaction::Open(pinned) => self.inside(&mut state, pinned, call).await,
-            Transaction::Aborted => write::aborted(&mut state, &plan.kind),
+            Transaction::Aborted => write::aborted(&mut state, &analysis.kind),
         }
     }
 
@@ -198,11 +198,11 @@
 
     /// Runs a query string that comes outside a transaction.
     async fn outside(&self, state: &mut State, call: Call<'_>) -> Answer {
-        match &call.plan.kind {
+        match &call.analysis.kind {
             Kind::ShowPosition => Ok(vec![answer::position_rows(state.floor)]),
             Kind::SetPosition(token) => set_position(state, token),
             Kind::Discard => {
-                state.values = Arc::default();
+                state.variables = Arc::default();
                 Ok(vec![Response::Execution(Tag::new("DISCARD ALL"))])
             }
             Kind::Read => self.read(state, call).await,
@@ -293,12 +293,13 @@
         C::Error: Debug,
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
-        let plan = route::plan(query);
-        let answer = self.run(query, &plan).await;
+        let analysis = route::analyze(query);
+        let answer = self.run(query, &analysis).await;
         let failed = answer.as_ref().is_err_and(Refusal::burns);
         self.shared.metrics.statement(!failed);
         let floor = self.state.lock().await.floor;
-        if let (Some(floor), Kind::Write | Kind::Commit | Kind::Script { .. }) = (floor, &plan.kind)
+        if let (Some(floor), Kind::Write | Kind::Commit | Kind::Script { .. }) =
+            (floor, &analysis.kind)
         {
             let status = ParameterStatus::new(POSITION_SETTING.to_owned(), floor.to_string());
             client
--- a/crates/proxy/src/session/answer.rs
+++ b/crates/proxy/src/session/answer.rs
@@ -10,7 +10,7 @@
 };
 use tokio_postgres::SimpleQueryMessage;
 
-use crate::route::{Kind, Plan, POSITION_SETTING};
+use crate::route::{Analysis, Kind, POSITION_SETTING};
 
 /// The answer to `SHOW dandelionpitch.position`.
 pub fn position_rows(floor: Option<Position>) -> Response {
@@ -39,20 +39,20 @@
     Response::Query(QueryResponse::new(schema, stream::iter(encoded)))
 }
 
-/// The responses for what a backend sent, with the command tags of `plan`, which
+/// The responses for what a backend sent, with the command tags of `analysis`, which
 /// `tokio-postgres` does not hand on.
-pub fn responses(messages: Vec<SimpleQueryMessage>, plan: &Plan) -> Vec<Response> {
+pub fn responses(messages: Vec<SimpleQueryMessage>, analysis: &Analysis) -> Vec<Response> {
     // A savepoint's rollback and a chained commit carry the tag of an end, but are none; the
     // caller's driver must not be told that its transaction is over.
-    let ends = match plan.kind {
+    let ends = match analysis.kind {
         Kind::Commit | Kind::Rollback => true,
-        Kind::Script { .. } => plan.tags.len() > 1,
+        Kind::Script { .. } => analysis.tags.len() > 1,
         _ => false,
     };
     let mut responses = Vec::new();
     let mut names: Option<Vec<String>> = None;
     let mut rows = Vec::new();
-    let mut tags = plan.tags.iter();
+    let mut tags = analysis.tags.iter();
     for message in messages {
         match message {
             SimpleQueryMessage::RowDescription(columns) => {
--- a/crates/proxy/src/session/checkout.rs
+++ b/crates/proxy/src/session/checkout.rs
@@ -46,7 +46,7 @@
             .pool_wait(started.elapsed().as_secs_f64());
         let late = |_| Err("no backend connection in time".to_owned());
         let mut connection = connection.unwrap_or_else(late)?;
-        connection.customize(call.values, limit).await?;
+        connection.customize(call.variables, limit).await?;
         Ok(connection)
     }
 
--- a/crates/proxy/src/session/connection.rs
+++ b/crates/proxy/src/session/connection.rs
@@ -8,7 +8,7 @@
 use tokio_postgres::{Client, SimpleQueryMessage};
 use tokio_util::sync::CancellationToken;
 
-use crate::{backend, route::Value, view::Status};
+use crate::{backend, route::Variable, view::Status};
 
 /// The SQLSTATE a server refuses a write with when it does not lead; nothing was run.
 const READ_ONLY: &str = "25006";
@@ -56,7 +56,7 @@
 pub struct Connection {
     object: Option<Object>,
     superseded: CancellationToken,
-    /// Whether values of one session may be set on it.
+    /// Whether variables of one session may be set on it.
     customized: bool,
 }
 
@@ -82,20 +82,24 @@
         })
     }
 
-    /// Sets a session's values on it, in one round trip.
-    pub async fn customize(&mut self, values: &[Value], deadline: Instant) -> Result<(), String> {
-        if values.is_empty() {
+    /// Sets a session's variables on it, in one round trip.
+    pub async fn customize(
+        &mut self,
+        variables: &[Variable],
+        deadline: Instant,
+    ) -> Result<(), String> {
+        if variables.is_empty() {
             return Ok(());
         }
         self.customized = true;
-        let statements: Vec<&str> = values.iter().map(|v| v.statement.as_str()).collect();
+        let statements: Vec<&str> = variables.iter().map(|v| v.statement.as_str()).collect();
         let (answer, _) = self
             .run(&statements.join("; "), Along::Nothing, deadline)
             .await;
         match answer {
             Ok(_) => Ok(()),
             Err(failure) => Err(format!(
-                "the session's values could not be set: {failure:?}"
+                "the session's variables could not be set: {failure:?}"
             )),
         }
     }
@@ -105,7 +109,7 @@
         self.customized = true;
     }
 
-    /// Hands the connection back to its pool, cleared of a session's values.
+    /// Hands the connection back to its pool, cleared of a session's variables.
     pub async fn finish(mut self, deadline: Instant) {
         if !self.customized {
             return;
--- a/crates/proxy/src/session/read.rs
+++ b/crates/proxy/src/session/read.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     metrics::Target,
-    route::{self, Need, Plan},
+    route::{self, Analysis, Need},
     view::{Group, Role, Status},
 };
 
@@ -30,7 +30,7 @@
                 self.shared.metrics.read(Target::Replica);
                 let (answer, _) = replica.run(call.query, Along::Nothing, call.deadline).await;
                 replica.finish(call.deadline).await;
-                return read_answer(answer, call.plan);
+                return read_answer(answer, call.analysis);
             }
         }
         self.read_on_primary(state.floor, call).await
@@ -73,7 +73,7 @@
             match checked {
                 Checked::Fit(answer) => {
                     self.shared.metrics.read(Target::Replica);
-                    return Ok(Some(read_answer(answer, call.plan)));
+                    return Ok(Some(read_answer(answer, call.analysis)));
                 }
                 Checked::Unfit => {}
                 Checked::Silent => server.cooldown.start(),
@@ -95,7 +95,7 @@
         match barrier {
             Some(position) if position.covers(floor.unwrap_or_default()) => {
                 connection.finish(call.deadline).await;
-                read_answer(answer, call.plan)
+                read_answer(answer, call.analysis)
             }
             _ => {
                 connection.close();
@@ -162,11 +162,11 @@
     }
 }
 
-fn read_answer(answer: connection::Answer, plan: &Plan) -> Answer {
+fn read_answer(answer: connection::Answer, analysis: &Analysis) -> Answer {
     match answer {
-        Ok(messages) => Ok(answer::responses(messages, plan)),
+        Ok(messages) => Ok(answer::responses(messages, analysis)),
         Err(Failure::Server(info)) => Err(Refusal::Server(info)),
-        Err(Failure::ReadOnly) => Err(not_leading(plan)),
+        Err(Failure::ReadOnly) => Err(not_leading(analysis)),
         Err(Failure::Lost(why)) => Err(Refusal::Unknown(why)),
     }
 }
--- a/crates/proxy/src/session/write.rs
+++ b/crates/proxy/src/session/write.rs
@@ -12,7 +12,7 @@
     refusal::Refusal,
     Answer, Call, Pinned, Session, State, Transaction, LOOK_AGAIN,
 };
-use crate::route::{Kind, Plan};
+use crate::route::{Analysis, Kind};
 
 impl Session {
     pub(super) async fn begin(&self, state: &mut State, call: Call<'_>) -> Answer {
@@ -24,10 +24,10 @@
         match answer {
             Ok(messages) => {
                 state.transaction = Transaction::Open(Box::new(Pinned(connection)));
-                Ok(answer::responses(messages, call.plan))
+                Ok(answer::responses(messages, call.analysis))
             }
             Err(Failure::Server(info)) => Err(Refusal::Server(info)),
-            Err(Failure::ReadOnly) => Err(not_leading(call.plan)),
+            Err(Failure::ReadOnly) => Err(not_leading(call.analysis)),
             Err(Failure::Lost(why)) => Err(Refusal::NotRun(why)),
         }
     }
@@ -42,27 +42,29 @@
             let (answer, position) = connection
                 .run(call.query, Along::Position, call.deadline)
                 .await;
-            match call.plan.kind {
+            match call.analysis.kind {
                 // It may have left a transaction or a value behind.
                 Kind::Unparsed => connection.close(),
-                _ if !call.plan.values.is_empty() => connection.mark_customized(),
+                _ if !call.analysis.variables.is_empty() => connection.mark_customized(),
                 _ => {}
             }
             connection.finish(call.deadline).await;
             state.floor = advance(state.floor, position);
             match answer {
                 Ok(messages) => {
-                    state.keep(&call.plan.values);
-                    return Ok(answer::responses(messages, call.plan));
+                    state.keep(&call.analysis.variables);
+                    return Ok(answer::responses(messages, call.analysis));
                 }
                 Err(Failure::Server(info)) => return Err(Refusal::Server(info)),
                 Err(Failure::Lost(why)) => return Err(Refusal::Unknown(why)),
-                Err(Failure::ReadOnly) if call.plan.tags.len() == 1 && Instant::now() < give_up => {
+                Err(Failure::ReadOnly)
+                    if call.analysis.tags.len() == 1 && Instant::now() < give_up =>
+                {
                     let view = self.shared.view.borrow().clone();
                     self.search(group(&view, call.caller)?, call).await;
                     tokio::time::sleep(LOOK_AGAIN).await;
                 }
-                Err(Failure::ReadOnly) => return Err(not_leading(call.plan)),
+                Err(Failure::ReadOnly) => return Err(not_leading(call.analysis)),
             }
         }
     }
@@ -74,15 +76,15 @@
         mut pinned: Box<Pinned>,
         call: Call<'_>,
     ) -> Answer {
-        let along = match call.plan.kind {
+        let along = match call.analysis.kind {
             Kind::Commit | Kind::Script { .. } => Along::Position,
             _ => Along::Nothing,
         };
-        if !call.plan.values.is_empty() {
+        if !call.analysis.variables.is_empty() {
             pinned.0.mark_customized();
         }
         let (answer, position) = pinned.0.run(call.query, along, call.deadline).await;
-        let open_after = match call.plan.kind {
+        let open_after = match call.analysis.kind {
             Kind::Commit | Kind::Rollback => false,
             Kind::Script { open_after } => open_after,
             _ => true,
@@ -90,16 +92,17 @@
         if along == Along::Position {
             state.floor = advance(state.floor, position);
         }
-        let script = matches!(call.plan.kind, Kind::Script { .. });
-        let may_have_committed = script || matches!(call.plan.kind, Kind::Commit | Kind::Unparsed);
+        let script = matches!(call.analysis.kind, Kind::Script { .. });
+        let may_have_committed =
+            script || matches!(call.analysis.kind, Kind::Commit | Kind::Unparsed);
         match answer {
             Ok(messages) => {
-                state.keep(&call.plan.values);
+                state.keep(&call.analysis.variables);
                 match open_after {
                     true => state.transaction = Transaction::Open(pinned),
                     false => pinned.release(call.deadline).await,
                 }
-                Ok(answer::responses(messages, call.plan))
+                Ok(answer::responses(messages, call.analysis))
             }
             Err(Failure::Server(info)) if !script && open_after => {
                 state.transaction = Transaction::Open(pinned);
@@ -108,15 +111,15 @@
             Err(Failure::Server(info)) => {
                 // What a failed script or COMMIT left behind is not known: the connection is
                 // closed with `pinned`, which rolls back.
-                state.transaction = after_failure(&call.plan.kind);
+                state.transaction = after_failure(&call.analysis.kind);
                 Err(Refusal::Server(info))
             }
             Err(Failure::ReadOnly) => {
-                state.transaction = after_failure(&call.plan.kind);
-                Err(not_leading(call.plan))
+                state.transaction = after_failure(&call.analysis.kind);
+                Err(not_leading(call.analysis))
             }
             Err(Failure::Lost(why)) => {
-                state.transaction = after_failure(&call.plan.kind);
+                state.transaction = after_failure(&call.analysis.kind);
                 Err(match may_have_committed {
                     true => Refusal::Unknown(why),
                     false => Refusal::NotRun(format!("{why}; the transaction is rolled back")),
@@ -152,9 +155,9 @@
 
 /// The refusal for a query string of which a server that does not lead refused a statement.
 /// Of several statements, those before it may have run and been kept.
-pub(super) fn not_leading(plan: &Plan) -> Refusal {
+pub(super) fn not_leading(analysis: &Analysis) -> Refusal {
     let why = "its server does not lead".to_owned();
-    match plan.tags.len() {
+    match analysis.tags.len() {
         1 => Refusal::NotRun(why),
         _ => Refusal::Unknown(why),
     }
--- a/crates/proxy/tests/route.rs
+++ b/crates/proxy/tests/route.rs
@@ -1,7 +1,7 @@
 //! Classification of query strings, which determines where they run and when their connection is
 //! returned to the pool.
 
-use dandelionpitch_proxy::route::{plan, Kind, Value};
+use dandelionpitch_proxy::route::{analyze, Kind, Variable};
 use yare::parameterized;
 
 /// Guards against returning a connection to the pool with a transaction open, for example after a
@@ -27,7 +27,7 @@
     discard = { "DISCARD ALL", Kind::Discard },
 )]
 fn query_kind_tells_transaction_end(query: &str, expected: Kind) {
-    assert_eq!(plan(query).kind, expected);
+    assert_eq!(analyze(query).kind, expected);
 }
 
 /// Guards against losing session settings on the session's other connections, and against applying
@@ -40,11 +40,11 @@
     none = { "SELECT 1", &[] },
 )]
 fn session_settings_exclude_local_ones(query: &str, expected: &[&str]) {
-    let values = plan(query).values;
+    let variables = analyze(query).variables;
 
-    let names: Vec<&str> = values
+    let names: Vec<&str> = variables
         .iter()
-        .map(|Value { name, .. }| name.as_str())
+        .map(|Variable { name, .. }| name.as_str())
         .collect();
     assert_eq!(names, expected);
 }
