--- a/crates/proxy/src/announce.rs
+++ b/crates/proxy/src/announce.rs
@@ -1,4 +1,4 @@
-//! The first line of standard output.
+//! The line that the proxy prints to standard output once it listens.
 
 use std::{
     io::{self, Write},
@@ -9,7 +9,7 @@
 pub fn print_addresses(listen: SocketAddr, operator: SocketAddr) {
     let mut out = io::stdout().lock();
     let line = format!("{{\"listen\":\"{listen}\",\"operator\":\"{operator}\"}}");
-    // Whoever started the process may not read it, which is no reason not to serve.
+    // A closed standard output must not keep the proxy from serving.
     let _ = writeln!(out, "{line}");
     let _ = out.flush();
 }
--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -1,5 +1,5 @@
-//! The calls a proxy makes to a backend server on its own account: status, position, barrier,
-//! and the two steps of a failover.
+//! Queries that a proxy sends to a backend server for itself, not for a caller: status, log
+//! position, barrier, and the fence and promotion of a failover.
 
 use std::{
     net::SocketAddr,
@@ -15,38 +15,38 @@
     view::{Role, Status},
 };
 
-/// Why a call to a backend server did not give its answer.
+/// Why a query to a backend server has no result.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// The server refused, or the connection failed.
-    #[display("{}", text(_0))]
+    /// The server answered with an error, or the connection failed.
+    #[display("{}", server_message(_0))]
     Server(tokio_postgres::Error),
-    /// No answer within the limit; the call may still take effect.
+    /// No answer within the time limit; the query may still take effect.
     #[display("no answer in time")]
     Timeout,
-    /// The answer was not of the expected shape.
-    #[display("an answer of another shape")]
-    Shape,
+    /// The answer lacks an expected row or column, or a value does not parse.
+    #[display("unexpected answer from the server")]
+    UnexpectedAnswer,
 }
 
-/// The server's own words, without the driver's "db error" in front.
-fn text(error: &tokio_postgres::Error) -> String {
+/// The server's error message and SQLSTATE, without the prefix "db error" that the driver adds.
+fn server_message(error: &tokio_postgres::Error) -> String {
     match error.as_db_error() {
         Some(db) => format!("{} ({})", db.message(), db.code().code()),
         None => error.to_string(),
     }
 }
 
-/// The name a proxy's backend connections carry, so that a server's own views tell who asks.
+/// The `application_name` of a proxy's backend connections, which identifies the proxy on the
+/// server.
 pub fn application_name(config: &Config) -> String {
     format!("dandelionpitch/{}/{}", config.dc, config.id)
 }
 
-/// How to connect to the server at `address`, for the pool and the control part alike.
+/// Connection options for the server at `address`.
 ///
-/// Failure: something between the two ends loses track of a connection, and it goes silent
-/// for good while new ones work. Guard: probes on idle connections, and a limit on how long
-/// sent bytes may stay unacknowledged, close such a connection within seconds.
+/// TCP keepalive and the user timeout close a connection within seconds if a device on the path
+/// has dropped its state: such a connection receives nothing any more, though new ones work.
 pub fn options(address: SocketAddr, database: &str, config: &Config) -> tokio_postgres::Config {
     let mut options = tokio_postgres::Config::new();
     options
@@ -64,7 +64,7 @@
     options
 }
 
-/// Opens a connection with its driver task on the current runtime.
+/// Opens a connection within `limit`, and spawns its driver task on the current runtime.
 pub async fn connect(options: &tokio_postgres::Config, limit: Duration) -> Result<Client, Error> {
     let (client, connection) = tokio::time::timeout(limit, options.connect(NoTls))
         .await
@@ -73,7 +73,7 @@
     Ok(client)
 }
 
-async fn row(client: &Client, query: &str, limit: Duration) -> Result<SimpleQueryRow, Error> {
+async fn query_row(client: &Client, query: &str, limit: Duration) -> Result<SimpleQueryRow, Error> {
     let messages = tokio::time::timeout(limit, client.simple_query(query))
         .await
         .map_err(|_| Error::Timeout)??;
@@ -81,73 +81,75 @@
         SimpleQueryMessage::Row(row) => Some(row),
         _ => None,
     });
-    row.ok_or(Error::Shape)
+    row.ok_or(Error::UnexpectedAnswer)
 }
 
-fn column<T: std::str::FromStr>(row: &SimpleQueryRow, name: &str) -> Result<T, Error> {
-    let text = row.try_get(name)?.ok_or(Error::Shape)?;
-    text.parse().map_err(|_| Error::Shape)
+fn parse_column<T: std::str::FromStr>(row: &SimpleQueryRow, name: &str) -> Result<T, Error> {
+    let text = row.try_get(name)?.ok_or(Error::UnexpectedAnswer)?;
+    text.parse().map_err(|_| Error::UnexpectedAnswer)
 }
 
-/// Which log the server has; groups that do not say have no such column.
-fn log_number(row: &SimpleQueryRow) -> Result<u64, Error> {
-    let named = |column: &tokio_postgres::SimpleColumn| column.name() == "log";
-    match row.columns().iter().any(named) {
-        true => column(row, "log"),
+/// The identity of the server's log; zero if the answer has no such column.
+fn parse_log_id(row: &SimpleQueryRow) -> Result<u64, Error> {
+    let is_log = |column: &tokio_postgres::SimpleColumn| column.name() == "log";
+    match row.columns().iter().any(is_log) {
+        true => parse_column(row, "log"),
         false => Ok(0),
     }
 }
 
-async fn position_of(client: &Client, query: &str, limit: Duration) -> Result<Position, Error> {
-    let row = row(client, query, limit).await?;
-    let text = row.get(0).ok_or(Error::Shape)?;
-    text.parse().map_err(|_| Error::Shape)
+async fn query_position(client: &Client, query: &str, limit: Duration) -> Result<Position, Error> {
+    let row = query_row(client, query, limit).await?;
+    let text = row.get(0).ok_or(Error::UnexpectedAnswer)?;
+    text.parse().map_err(|_| Error::UnexpectedAnswer)
 }
 
-/// Reads a server's status.
+/// Reads a server's role, term, log position and staleness.
 pub async fn status(client: &Client, limit: Duration) -> Result<Status, Error> {
-    // Taken before the question, so that the time on the way counts as age of the answer.
+    // Taken before the request, so that the age of the answer includes the round trip.
     let read_at = Instant::now();
-    let row = row(client, "SHOW dandelionpitch.status", limit).await?;
-    let role: String = column(&row, "role")?;
+    let row = query_row(client, "SHOW dandelionpitch.status", limit).await?;
+    let role: String = parse_column(&row, "role")?;
     Ok(Status {
         role: match role.as_str() {
             "primary" => Role::Primary,
             _ => Role::Replica,
         },
-        term: column(&row, "term")?,
-        log_id: log_number(&row)?,
-        position: column(&row, "position")?,
-        lag: Duration::from_millis(column(&row, "lag_ms")?),
-        silence: Duration::from_millis(column(&row, "silent_ms")?),
+        term: parse_column(&row, "term")?,
+        log_id: parse_log_id(&row)?,
+        position: parse_column(&row, "position")?,
+        lag: Duration::from_millis(parse_column(&row, "lag_ms")?),
+        silence: Duration::from_millis(parse_column(&row, "silent_ms")?),
         read_at,
     })
 }
 
-/// The last position in the server's table.
+/// The last log position applied to the server's table.
 pub async fn position(client: &Client, limit: Duration) -> Result<Position, Error> {
-    position_of(client, "SHOW dandelionpitch.position", limit).await
+    query_position(client, "SHOW dandelionpitch.position", limit).await
 }
 
-/// The position of a server that still leads; a superseded one refuses or does not answer.
+/// The log position of a server that is confirmed to be primary; a superseded one returns an
+/// error or does not answer.
 ///
-/// Failure: a primary cut off with its data centre still believes it leads, and its position
-/// is below writes its successor acknowledged. Guard: the server answers only after enough
-/// replicas accepted it as their primary after the question came, and those that hold a later
-/// term do not.
+/// A partitioned primary still considers itself primary, but its position may be below writes
+/// that its successor acknowledged. The server therefore answers only after enough replicas have
+/// accepted it as their primary since the request arrived, and replicas that hold a later term do
+/// not accept it.
 pub async fn barrier(client: &Client, limit: Duration) -> Result<Position, Error> {
-    position_of(client, "SELECT dandelionpitch_barrier()", limit).await
+    query_position(client, "SELECT dandelionpitch_barrier()", limit).await
 }
 
-/// Makes the server hold `term`; returns which log it has and the last position it has received.
+/// Fences the server at `term`, so that it refuses writes of earlier terms. Returns the identity of
+/// its log and the last log position it has received.
 pub async fn fence(client: &Client, term: u64, limit: Duration) -> Result<(u64, Position), Error> {
     let query = format!("SELECT dandelionpitch_fence({term})");
-    let row = row(client, &query, limit).await?;
-    Ok((log_number(&row)?, column(&row, "received")?))
+    let row = query_row(client, &query, limit).await?;
+    Ok((parse_log_id(&row)?, parse_column(&row, "received")?))
 }
 
-/// Makes the server primary at `term`; returns its first position there.
+/// Promotes the server to primary at `term`; returns its first log position in that term.
 pub async fn promote(client: &Client, term: u64, limit: Duration) -> Result<Position, Error> {
     let query = format!("SELECT dandelionpitch_promote({term})");
-    position_of(client, &query, limit).await
+    query_position(client, &query, limit).await
 }
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -4,15 +4,15 @@
 
 use clap::Parser;
 
-/// The dandelionpitch proxy: PostgreSQL wire protocol to callers, pooled connections to
-/// replicated database groups, read-your-writes for every session.
+/// Database proxy: serves callers over the PostgreSQL wire protocol, pools connections to
+/// replicated database groups, and guarantees read-your-writes for every session.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Cli {
-    /// The settings file (TOML); without it the embedded defaults apply.
+    /// Settings file (TOML); if omitted, built-in defaults apply.
     #[arg(long, short)]
     pub config: Option<PathBuf>,
-    /// The least severe log level written.
+    /// Minimum severity of log lines.
     #[arg(long, default_value = "info")]
     pub log_level: log::LevelFilter,
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,7 +1,6 @@
-//! The proxy's settings, read from TOML; the rest of the daemon reads this, never the CLI.
+//! The proxy's settings, read from TOML.
 //!
-//! A process learns its addresses and data centre from its settings (brief, "Where it will
-//! run"). Unknown keys are refused, so a misspelt key cannot silently fall back to a default.
+//! Unknown keys are rejected, so that a misspelt key cannot silently fall back to a default.
 
 use std::{
     net::SocketAddr,
@@ -13,8 +12,8 @@
 
 use crate::error::Error;
 
-/// The settings used when no file is given: a proxy on loopback next to a local KV.
-pub const EMBEDDED: &str = r#"
+/// The settings used if no file is given: a proxy on loopback with a local key-value store (KV).
+pub const DEFAULT_SETTINGS: &str = r#"
 id = "proxy-1"
 dc = "dc-1"
 listen = "127.0.0.1:6432"
@@ -26,29 +25,30 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// This proxy's name, unique in the fleet.
+    /// The name of this proxy, unique among all proxies.
     pub id: String,
-    /// The data centre this proxy runs in.
+    /// The data centre that this proxy runs in.
     pub dc: String,
-    /// Where callers connect (PostgreSQL wire protocol).
+    /// The address for callers (PostgreSQL wire protocol).
     pub listen: SocketAddr,
-    /// Where operators connect (HTTP).
+    /// The address of the operator endpoint (HTTP).
     pub operator_listen: SocketAddr,
-    /// The platform KV endpoint, `http://host:port`.
+    /// The endpoint of the platform's KV, `http://host:port`.
     pub kv: String,
-    /// The platform's VM list, `http://host:port/path`; without it no server is known to leave.
+    /// The platform's VM list, `http://host:port/path`. Without it, the proxy does not know when a
+    /// server is about to stop.
     #[serde(default)]
     pub vms: Option<String>,
-    /// How long a planned stop waits for requests and transactions in progress.
+    /// How long a planned stop waits for in-flight requests and open transactions.
     #[serde(default = "default_drain_limit", with = "humantime_serde")]
     pub drain_limit: Duration,
-    /// When a primary counts as failed.
+    /// When and how a failed primary is replaced.
     #[serde(default)]
     pub failover: Failover,
-    /// How the proxy talks to backend servers.
+    /// Connections to backend servers.
     #[serde(default)]
     pub backend: Backend,
-    /// Present where callers and backend servers speak the line protocol (`docs/PLATFORM.md`).
+    /// Present if callers and backend servers speak the line protocol (`docs/PLATFORM.md`).
     #[serde(default)]
     pub line: Option<Line>,
     /// The file these settings were read from.
@@ -60,25 +60,27 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// Where the platform's promotion call is served, `host:port`.
+    /// The address of the platform service that promotes servers.
     pub promoter: SocketAddr,
-    /// How long after SIGTERM the process is killed.
+    /// The time between SIGTERM and the platform killing the process.
     #[serde(with = "humantime_serde")]
     pub grace: Duration,
-    /// Where counters are served as text, besides the operators' address.
+    /// A second address that serves metrics as text, in addition to the operator endpoint.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Where other proxies hand statements to this one; without it, it only hands on.
+    /// The address at which other proxies forward statements to this one. Without it, this proxy
+    /// forwards statements but accepts no forwarded ones.
     #[serde(default)]
     pub peer: Option<SocketAddr>,
-    /// Within which a new configuration has to be in force on every proxy.
+    /// The time within which a new configuration must be applied on every proxy.
     #[serde(default = "default_config_within", with = "humantime_serde")]
     pub config_within: Duration,
-    /// The VM's processor share, in cores: proxies with more run more statements for others.
+    /// The VM's CPU share, in cores. Proxies with more CPU and bandwidth run more forwarded
+    /// statements.
     #[serde(default = "default_cores")]
     pub cores: f64,
-    /// The bandwidth of the VM's link, in megabits a second.
-    #[serde(default = "default_link")]
+    /// The bandwidth of the VM's network link, in megabits per second.
+    #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
 }
 
@@ -90,7 +92,7 @@
     1.0
 }
 
-fn default_link() -> f64 {
+fn default_link_mbps() -> f64 {
     1_000.0
 }
 
@@ -102,41 +104,42 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Backend {
-    /// The user name the proxy connects to backend servers with.
+    /// The user name for connections to backend servers.
     pub user: String,
-    /// How long opening a backend connection may take.
+    /// Timeout for opening a backend connection.
     #[serde(with = "humantime_serde")]
     pub connect_timeout: Duration,
-    /// How long a statement may wait for a free pooled connection.
+    /// How long a statement may wait for a primary or a free pooled connection.
     #[serde(with = "humantime_serde")]
     pub pool_wait: Duration,
-    /// How often each server's role, term and log position are read.
+    /// The interval at which each server's role, term and log position are polled.
     #[serde(with = "humantime_serde")]
     pub status_every: Duration,
-    /// How long a server may take to answer a status read.
+    /// How long a server may take to answer a status request.
     #[serde(with = "humantime_serde")]
     pub status_timeout: Duration,
-    /// How long sent bytes may stay unacknowledged before a connection counts as lost.
+    /// How long sent bytes may remain unacknowledged before the connection is closed, and how long
+    /// a connection may be idle before it is probed.
     #[serde(with = "humantime_serde")]
     pub silent_after: Duration,
 }
 
-/// Settings of the failover role.
+/// Settings for replacing a failed primary.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Failover {
-    /// How long this proxy and the replicas must have missed a primary before it is replaced.
+    /// How long a primary must be unreachable for this proxy and the replicas before it is replaced.
     #[serde(with = "humantime_serde")]
     pub after: Duration,
-    /// Proxies wait a further part of this, each its own, so that one claims and the others
-    /// see it.
+    /// The maximum additional delay before a failover. Each proxy waits a different fraction of it,
+    /// so that one claims the term and the others see the claim.
     #[serde(with = "humantime_serde")]
     pub spread: Duration,
-    /// How long a proxy that has claimed a term is given to promote a server before another
-    /// claims the next one; well above what a promotion takes.
+    /// How long a proxy that has claimed a term has to promote a server before another proxy may
+    /// claim the next term.
     #[serde(with = "humantime_serde")]
     pub claim_limit: Duration,
-    /// How long a server may take to obey a fence or a promotion.
+    /// How long a server may take to complete a fence or a promotion.
     #[serde(with = "humantime_serde")]
     pub step_timeout: Duration,
 }
@@ -166,29 +169,29 @@
 }
 
 impl Config {
-    /// Reads the settings from `path`, or the embedded defaults when there is none.
+    /// Reads the settings from `path`, or the built-in defaults if it is `None`.
     pub fn load(path: Option<&Path>) -> Result<Self, Error> {
         let text = match path {
             Some(path) => std::fs::read_to_string(path).map_err(|source| Error::Read {
                 path: path.display().to_string(),
                 source,
             })?,
-            None => EMBEDDED.to_owned(),
+            None => DEFAULT_SETTINGS.to_owned(),
         };
         let mut config = Self::parse(&text)?;
         config.path = path.map(Path::to_owned);
         Ok(config)
     }
 
-    /// Parses settings from TOML text.
+    /// Parses and validates settings from TOML text.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let config: Self = toml::from_str(text)?;
-        config.check()?;
+        config.validate()?;
         Ok(config)
     }
 
-    /// Whether a process that runs by `old` runs by these settings too: addresses and names are
-    /// only read at the start.
+    /// Whether a process started with `old` can apply these settings without a restart. Addresses
+    /// and names are only read at start-up.
     pub fn needs_no_restart(&self, old: &Self) -> bool {
         let line = |config: &Self| config.line.as_ref().map(|line| line.promoter);
         (
@@ -217,8 +220,8 @@
         line.map_or(Duration::MAX, |line| line.config_within)
     }
 
-    /// A zero period would make a loop spin; the message names the key.
-    fn check(&self) -> Result<(), Error> {
+    /// Rejects zero durations: a loop with a zero polling interval would spin.
+    fn validate(&self) -> Result<(), Error> {
         let positive = [
             ("backend.connect_timeout", self.backend.connect_timeout),
             ("backend.pool_wait", self.backend.pool_wait),
@@ -232,7 +235,7 @@
             ("line.config_within", self.config_within()),
         ];
         match positive.iter().find(|(_, value)| value.is_zero()) {
-            Some((key, _)) => Err(Error::Rule(format!("{key}: must be above zero"))),
+            Some((key, _)) => Err(Error::OutOfRange(format!("{key}: must be above zero"))),
             None => Ok(()),
         }
     }
--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -1,8 +1,8 @@
-//! Start-up and stop of the proxy: listeners, the control thread, the traffic runtime.
+//! Start-up and shutdown of the proxy: listeners, the control thread, the traffic runtime.
 //!
-//! A planned stop (SIGTERM or SIGINT) reports not ready to the balancer and closes the caller
-//! listener. Sessions at rest are closed at once; a request in progress gets its whole answer
-//! and an open transaction its end first, up to the setting `drain_limit`.
+//! On SIGTERM or SIGINT, the proxy reports itself as not ready to the load balancer and closes the
+//! caller listener. Idle sessions are closed at once. Other sessions are closed when their request
+//! is answered and their transaction has ended, or after the setting `drain_limit`.
 
 use std::{
     sync::{
@@ -26,10 +26,10 @@
     view::View,
 };
 
-/// How often a stopping proxy looks whether a session has come to rest.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+/// How often a stopping proxy checks whether a session is idle.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Runs the proxy until a planned stop.
+/// Runs the proxy until SIGTERM or SIGINT.
 pub fn run(config: Config) -> Result<(), Error> {
     if let Some(line) = config.line.clone() {
         return line::run(config, line);
@@ -47,10 +47,10 @@
         .await
         .map_err(Error::Listen)?;
     let listen = listener.local_addr().map_err(Error::Listen)?;
-    let (publish, view) = watch::channel(Arc::new(View::default()));
+    let (view_tx, view) = watch::channel(Arc::new(View::default()));
     let metrics = Metrics::default();
     let stopping = CancellationToken::new();
-    let (bound, operator_address) = tokio::sync::oneshot::channel();
+    let (address_tx, operator_address) = tokio::sync::oneshot::channel();
     tokio::spawn(operator::serve(
         config.operator_listen,
         config.id.clone(),
@@ -58,7 +58,7 @@
         view.clone(),
         metrics.clone(),
         stopping.clone(),
-        bound,
+        address_tx,
     ));
     let operator_address = operator_address
         .await
@@ -67,60 +67,61 @@
         listen,
         operator: operator_address,
     };
-    let patience = config.backend.pool_wait;
-    let check_limit = config.backend.status_timeout;
+    let acquire_timeout = config.backend.pool_wait;
+    let status_timeout = config.backend.status_timeout;
     let drain_limit = config.drain_limit;
-    control::spawn(config, addresses, metrics.clone(), publish);
+    control::spawn(config, addresses, metrics.clone(), view_tx);
     crate::announce::print_addresses(listen, operator_address);
-    log::info!(target: "daemon", "Listening for callers on {listen}, operators on {operator_address}.");
+    log::info!(target: "daemon", "Listening for callers on {listen} and for operators on {operator_address}.");
     let shared = Arc::new(Shared {
         view,
         metrics,
-        patience,
-        check_limit,
+        acquire_timeout,
+        status_timeout,
     });
-    let open = Arc::new(AtomicUsize::new(0));
-    let mut stop = unix::signal(unix::SignalKind::terminate()).map_err(Error::Listen)?;
+    let open_sessions = Arc::new(AtomicUsize::new(0));
+    let mut sigterm = unix::signal(unix::SignalKind::terminate()).map_err(Error::Listen)?;
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((socket, _)) = accepted else { continue };
                 let _ = socket.set_nodelay(true);
                 let session = Session::new(shared.clone());
-                let (open, stopping) = (open.clone(), stopping.clone());
-                open.fetch_add(1, Ordering::SeqCst);
+                let (open_sessions, stopping) = (open_sessions.clone(), stopping.clone());
+                open_sessions.fetch_add(1, Ordering::SeqCst);
                 tokio::spawn(async move {
                     let handlers = Handlers(session.clone());
                     tokio::select! {
                         _ = pgwire::tokio::process_socket(socket, None, handlers) => {}
-                        () = retire(&session, &stopping) => {}
+                        () = wait_until_closable(&session, &stopping) => {}
                     }
-                    open.fetch_sub(1, Ordering::SeqCst);
+                    open_sessions.fetch_sub(1, Ordering::SeqCst);
                 });
             }
-            _ = stop.recv() => break,
+            _ = sigterm.recv() => break,
             _ = tokio::signal::ctrl_c() => break,
         }
     }
     drop(listener);
     stopping.cancel();
-    drain(&open, drain_limit).await;
+    drain(&open_sessions, drain_limit).await;
     Ok(())
 }
 
-/// Returns once the proxy is stopping and the session is at rest.
-async fn retire(session: &Session, stopping: &CancellationToken) {
+/// Returns once the proxy is stopping and the session is idle.
+async fn wait_until_closable(session: &Session, stopping: &CancellationToken) {
     stopping.cancelled().await;
-    while !session.at_rest() {
-        tokio::time::sleep(LOOK_AGAIN).await;
+    while !session.is_idle() {
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
 }
 
-async fn drain(open: &AtomicUsize, limit: Duration) {
-    log::info!(target: "daemon", "Stopping; {} sessions open.", open.load(Ordering::SeqCst));
+/// Waits until all sessions are closed, for at most `limit`.
+async fn drain(open_sessions: &AtomicUsize, limit: Duration) {
+    log::info!(target: "daemon", "Stopping; {} sessions open.", open_sessions.load(Ordering::SeqCst));
     let deadline = Instant::now() + limit;
-    while open.load(Ordering::SeqCst) > 0 && Instant::now() < deadline {
-        tokio::time::sleep(LOOK_AGAIN).await;
+    while open_sessions.load(Ordering::SeqCst) > 0 && Instant::now() < deadline {
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
-    log::info!(target: "daemon", "Stopped; {} sessions left.", open.load(Ordering::SeqCst));
+    log::info!(target: "daemon", "Stopped; {} sessions still open.", open_sessions.load(Ordering::SeqCst));
 }
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -11,17 +11,17 @@
         path: String,
         source: std::io::Error,
     },
-    /// The settings file is not valid; the text names the key.
+    /// The settings file is not valid TOML, or has an unknown key or a value of the wrong type.
     #[display("settings are not valid: {_0}")]
     Settings(toml::de::Error),
-    /// The settings parsed but broke a rule; the text names the key.
+    /// A setting is out of range; the message names its key.
     #[display("settings are not valid: {_0}")]
     #[from(ignore)]
-    Rule(#[error(not(source))] String),
-    /// A client of the platform could not be built.
+    OutOfRange(#[error(not(source))] String),
+    /// A client of a platform service could not be built.
     #[display("platform: {_0}")]
     Platform(dandelionpitch_platform::Error),
-    /// A listener could not be opened.
+    /// A listener, the runtime or a signal handler could not be set up.
     #[display("cannot listen: {_0}")]
     Listen(std::io::Error),
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! The proxy daemon's parts; the binary `dandelionpitch` only parses its command line, reads its
-//! settings and hands off to [`daemon::run`].
+//! The proxy daemon. The binary `dandelionpitch` only parses its command line, reads its settings
+//! and calls [`daemon::run`].
 
 pub mod announce;
 pub mod backend;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! `dandelionpitch`, the proxy daemon: parses the command line, reads the settings and hands
-//! off to [`daemon::run`].
+//! `dandelionpitch`, the proxy daemon: parses the command line, reads the settings and calls
+//! [`daemon::run`].
 
 mod cli;
 
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -47,7 +47,7 @@
 
 /// How soon a statement for which there was no primary, or no connection to it, or which a
 /// superseded one refused, is tried again.
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What the daemon shares with every session.
 #[derive(Debug)]
@@ -55,9 +55,9 @@
     pub view: watch::Receiver<Arc<View>>,
     pub metrics: Metrics,
     /// How long a statement may wait for a primary or a free backend connection.
-    pub patience: Duration,
+    pub acquire_timeout: Duration,
     /// How long a server may take to give its status along with a read.
-    pub check_limit: Duration,
+    pub status_timeout: Duration,
 }
 
 /// The session's transaction.
@@ -147,7 +147,7 @@
     }
 
     /// Whether the connection can be closed without cutting off a request or a transaction.
-    pub fn at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let state = self.state.try_lock();
         let none = state.is_ok_and(|state| matches!(state.transaction, Transaction::None));
         none && !self.answering.load(Ordering::SeqCst)
--- a/crates/proxy/src/session/checkout.rs
+++ b/crates/proxy/src/session/checkout.rs
@@ -7,7 +7,7 @@
 use futures::future::join_all;
 use tokio_util::sync::CancellationToken;
 
-use super::{connection::Connection, refusal::Refusal, Call, Session, LOOK_AGAIN};
+use super::{connection::Connection, refusal::Refusal, Call, Session, RETRY_INTERVAL};
 use crate::view::{Group, Role, Server, Status, View};
 
 impl Session {
@@ -20,14 +20,14 @@
             .await
     }
 
-    /// As [`Session::checkout`], for a server that may not answer: within `check_limit`.
+    /// As [`Session::checkout`], for a server that may not answer: within `status_timeout`.
     pub(super) async fn checkout_soon(
         &self,
         server: &Server,
         call: Call<'_>,
     ) -> Option<Connection> {
         let checkout = self.checkout(server, call);
-        let limited = tokio::time::timeout(self.shared.check_limit, checkout).await;
+        let limited = tokio::time::timeout(self.shared.status_timeout, checkout).await;
         limited.ok()?.ok()
     }
 
@@ -66,14 +66,15 @@
 
     async fn ask(&self, server: &Server, call: Call<'_>) -> Option<Status> {
         let mut connection = self.checkout_soon(server, call).await?;
-        let status = connection.status(self.shared.check_limit).await;
+        let status = connection.status(self.shared.status_timeout).await;
         connection.finish(call.deadline).await;
         status
     }
 
     /// When a statement that has not been sent yet is refused.
     pub(super) fn give_up(&self, call: Call<'_>) -> Instant {
-        call.deadline.min(Instant::now() + self.shared.patience)
+        call.deadline
+            .min(Instant::now() + self.shared.acquire_timeout)
     }
 
     /// A connection to the group's primary; while there is none, waits for one to be promoted.
@@ -98,7 +99,7 @@
             }
             self.search(group, call).await;
             // A new view, or a while: a connection may be had later though nothing changed.
-            let again = give_up.min(Instant::now() + LOOK_AGAIN);
+            let again = give_up.min(Instant::now() + RETRY_INTERVAL);
             let _ = tokio::time::timeout_at(again.into(), views.changed()).await;
         }
     }
--- a/crates/proxy/src/session/read.rs
+++ b/crates/proxy/src/session/read.rs
@@ -42,7 +42,7 @@
     ///
     /// Failure: a frozen replica, of which this proxy has no status, would hold every read
     /// until the caller's timeout. Guard: a connection and the status must come within
-    /// `check_limit` each, and a server that did not give them is left alone for a while by
+    /// `status_timeout` each, and a server that did not give them is left alone for a while by
     /// all sessions.
     async fn read_unwatched(
         &self,
@@ -65,7 +65,7 @@
                 server.cooldown.start();
                 continue;
             };
-            let limit = self.shared.check_limit;
+            let limit = self.shared.status_timeout;
             let checked = replica
                 .run_checked(call.query, limit, call.deadline, fit)
                 .await;
--- a/crates/proxy/src/session/write.rs
+++ b/crates/proxy/src/session/write.rs
@@ -10,7 +10,7 @@
     checkout::group,
     connection::{Along, Failure},
     refusal::Refusal,
-    Answer, Call, Pinned, Session, State, Transaction, LOOK_AGAIN,
+    Answer, Call, Pinned, Session, State, Transaction, RETRY_INTERVAL,
 };
 use crate::route::{Analysis, Kind};
 
@@ -62,7 +62,7 @@
                 {
                     let view = self.shared.view.borrow().clone();
                     self.search(group(&view, call.caller)?, call).await;
-                    tokio::time::sleep(LOOK_AGAIN).await;
+                    tokio::time::sleep(RETRY_INTERVAL).await;
                 }
                 Err(Failure::ReadOnly) => return Err(not_leading(call.analysis)),
             }
