--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,7 +1,6 @@
-//! Metrics through `opentelemetry`, read on demand by the operator endpoint `/metrics`.
+//! The proxy's metrics, recorded with `opentelemetry` and served at `/metrics`.
 //!
-//! The SDK aggregates; a manual reader collects when an operator asks, so nothing is sent
-//! anywhere unless somebody looks.
+//! Metrics are pulled, not pushed: a manual reader collects them for each request to the endpoint.
 
 use std::{
     fmt::Write,
@@ -46,18 +45,17 @@
     _provider: SdkMeterProvider,
 }
 
-/// The upper bounds of the latency histogram in seconds: fractions and multiples of the targets that
-/// routes usually have (0.2 to 0.8 s).
-const LATENCY_BOUNDS: [f64; 9] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2];
+/// Bucket boundaries of the latency histogram.
+const LATENCY_BOUNDS_SECS: [f64; 9] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2];
 
-/// Where a read went.
+/// The role of the server that a read was sent to.
 #[derive(Clone, Copy, Debug)]
 pub enum Target {
     Primary,
     Replica,
 }
 
-/// One sample as `/metrics` shows it.
+/// One value of a metric, as served at `/metrics`.
 #[derive(Debug, Serialize)]
 pub struct Sample {
     pub name: String,
@@ -66,9 +64,9 @@
 }
 
 #[derive(Debug)]
-struct Shared(Arc<ManualReader>);
+struct SharedReader(Arc<ManualReader>);
 
-impl MetricReader for Shared {
+impl MetricReader for SharedReader {
     fn register_pipeline(&self, pipeline: Weak<Pipeline>) {
         self.0.register_pipeline(pipeline)
     }
@@ -91,11 +89,11 @@
 }
 
 impl Default for Metrics {
-    /// A meter provider with a manual reader, and the proxy's instruments.
+    /// Creates the instruments on a meter provider of their own, with a manual reader.
     fn default() -> Self {
         let reader = Arc::new(ManualReader::builder().build());
         let provider = SdkMeterProvider::builder()
-            .with_reader(Shared(reader.clone()))
+            .with_reader(SharedReader(reader.clone()))
             .build();
         let meter = provider.meter("dandelionpitch");
         Self {
@@ -108,7 +106,7 @@
             answers: meter.u64_counter("answers").build(),
             latency: meter
                 .f64_histogram("latency_seconds")
-                .with_boundaries(LATENCY_BOUNDS.to_vec())
+                .with_boundaries(LATENCY_BOUNDS_SECS.to_vec())
                 .build(),
             attempts: meter.u64_counter("attempts").build(),
             connections: meter.u64_counter("connections_opened").build(),
@@ -126,7 +124,7 @@
 }
 
 impl Metrics {
-    /// Counts a read served by `target`.
+    /// Counts a read sent to a server with the role `target`.
     pub fn read(&self, target: Target) {
         let name = match target {
             Target::Primary => "primary",
@@ -145,8 +143,8 @@
         self.refusals.add(1, &[KeyValue::new("code", code)]);
     }
 
-    /// Counts a query string that has been answered, for the report on service-level burn; `ok`
-    /// unless the proxy itself failed it.
+    /// Counts an answered query string, from which the error budget's burn rate is computed. `ok`
+    /// is `false` only if the proxy refused it or lost its outcome.
     pub fn statement(&self, ok: bool) {
         let outcome = match ok {
             true => "ok",
@@ -155,13 +153,13 @@
         self.statements.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a primary this proxy replaced.
+    /// Counts a primary that this proxy replaced.
     pub fn promotion(&self) {
         self.promotions.add(1, &[]);
     }
 
-    /// Counts an answer to a caller of `route`, by its outcome (`ok` or the refusal's code), with the
-    /// time it took.
+    /// Counts an answer to a caller on `route` by outcome (`ok` or the refusal's code), and records
+    /// its latency.
     pub fn answer(&self, route: &str, outcome: &str, seconds: f64) {
         let route = KeyValue::new("route", route.to_owned());
         let outcome = KeyValue::new("outcome", outcome.to_owned());
@@ -169,7 +167,7 @@
         self.latency.record(seconds, &[route]);
     }
 
-    /// Counts a statement that a server did not serve, by the reason.
+    /// Counts an attempt to run a statement that a server did not complete, by reason.
     pub fn attempt(&self, reason: &str) {
         self.attempts
             .add(1, &[KeyValue::new("reason", reason.to_owned())]);
@@ -181,37 +179,37 @@
             .add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts a call to the platform's store that failed.
+    /// Counts a failed request to the platform's key-value store.
     pub fn store_error(&self) {
         self.store_errors.add(1, &[]);
     }
 
-    /// Counts an entry of the store that names no server, or no proxy.
+    /// Counts an entry of the store that cannot be parsed as a server or proxy.
     pub fn invalid_entry(&self) {
         self.invalid_entries.add(1, &[]);
     }
 
-    /// Counts a statement that another proxy runs for this one.
+    /// Counts a statement forwarded to another proxy.
     pub fn forwarded(&self) {
         self.forwarded.add(1, &[]);
     }
 
-    /// Notes how many log lines were left out because standard output was not read.
+    /// Records the total number of log lines dropped because standard output was not read.
     pub fn log_lines_dropped(&self, lines: u64) {
         self.log_lines_dropped.record(lines, &[]);
     }
 
-    /// How old what is known of the store may be, in milliseconds.
+    /// Records an upper bound on the staleness of the local copy of the store, in milliseconds.
     pub fn changes_age(&self, millis: u64) {
         self.changes_age.record(millis, &[]);
     }
 
-    /// How often the store has come back from a copy, as far as this process has heard.
+    /// Records how often the store has been restored from a backup, as far as this process knows.
     pub fn store_era(&self, era: u64) {
         self.store_era.record(era, &[]);
     }
 
-    /// Notes the version of the configuration in force.
+    /// Records the version of the applied configuration.
     pub fn version(&self, version: u64) {
         self.version.record(version, &[]);
     }
@@ -221,7 +219,7 @@
         self.pool_wait.record(seconds, &[]);
     }
 
-    /// The current samples as text, one a line: name, attributes in braces, value.
+    /// The current samples as text, one per line: name, attributes in braces, value.
     pub fn text(&self) -> String {
         let mut out = String::new();
         for sample in self.samples() {
@@ -251,7 +249,7 @@
         let mut samples = Vec::new();
         for scope in collected.scope_metrics() {
             for metric in scope.metrics() {
-                push(&mut samples, metric.name(), metric.data());
+                push_samples(&mut samples, metric.name(), metric.data());
             }
         }
         samples
@@ -262,12 +260,12 @@
     let mut attributes: Vec<(String, String)> = pairs
         .map(|pair| (pair.key.to_string(), pair.value.to_string()))
         .collect();
-    // The SDK hands them out in no order; readers of the text want the same one each time.
+    // The SDK returns attributes in arbitrary order; the output must be stable.
     attributes.sort_unstable();
     attributes
 }
 
-/// The counts of a histogram's buckets, each with those below it, as scrapers expect them.
+/// Appends a histogram's buckets with cumulative counts, as in the Prometheus format.
 fn push_buckets(
     samples: &mut Vec<Sample>,
     name: &str,
@@ -275,21 +273,21 @@
     bounds: impl Iterator<Item = f64>,
     counts: impl Iterator<Item = u64>,
 ) {
-    let mut below = 0;
+    let mut cumulative = 0;
     let bounds = bounds.map(|bound| bound.to_string());
     for (bound, count) in bounds.chain(["+Inf".to_owned()]).zip(counts) {
-        below += count;
+        cumulative += count;
         let mut attributes = base.to_vec();
         attributes.push(("le".to_owned(), bound));
         samples.push(Sample {
             name: format!("{name}_bucket"),
             attributes,
-            value: below as f64,
+            value: cumulative as f64,
         });
     }
 }
 
-fn push(samples: &mut Vec<Sample>, name: &str, data: &AggregatedMetrics) {
+fn push_samples(samples: &mut Vec<Sample>, name: &str, data: &AggregatedMetrics) {
     match data {
         AggregatedMetrics::U64(MetricData::Sum(sum)) => {
             for point in sum.data_points() {
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator HTTP endpoint on `rocket`: what this proxy runs, and its metrics.
+//! The operator HTTP endpoint: status, readiness and metrics.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,13 +12,13 @@
     view::View,
 };
 
-/// What `GET /status` answers.
+/// The body of `GET /status`.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub id: String,
     pub dc: String,
     pub bundle_version: u64,
-    /// How many live proxies this one knows of, itself included.
+    /// The number of live proxies known to this one, including itself.
     pub members: usize,
     pub groups: Vec<GroupReport>,
 }
@@ -28,7 +28,7 @@
 pub struct GroupReport {
     pub name: String,
     pub primary: Option<SocketAddr>,
-    /// Whether this proxy is one of the group's watchers.
+    /// Whether this proxy polls the status of the group's servers.
     pub watched: bool,
     pub servers: Vec<ServerReport>,
 }
@@ -37,7 +37,8 @@
 #[derive(Debug, Serialize)]
 pub struct ServerReport {
     pub address: SocketAddr,
-    /// Whether the bundle in force lists it; one that it does not list still counts for commits.
+    /// Whether the applied bundle lists the server. An unlisted one still counts towards the
+    /// promotion quorum.
     pub listed: bool,
     pub role: Option<String>,
     pub position: Option<String>,
@@ -88,8 +89,8 @@
     })
 }
 
-/// Whether the balancer should send this proxy new connections: it runs a bundle and is not
-/// stopping. A proxy cut off from the KV stays ready, and serves what it can.
+/// Whether the load balancer should send new connections to this proxy: it has applied a bundle and
+/// is not stopping. A proxy that loses its connection to the key-value store stays ready.
 #[get("/ready")]
 fn ready(context: &State<Context>) -> Status {
     let runs_bundle = context.view.borrow().bundle.is_some();
@@ -104,7 +105,7 @@
     Json(context.metrics.samples())
 }
 
-/// How every operator endpoint is served: the daemon handles signals and logs itself.
+/// The `rocket` configuration of an operator endpoint. The daemon itself handles signals and logs.
 pub fn figment(address: SocketAddr) -> rocket::figment::Figment {
     rocket::Config::figment()
         .merge(("address", address.ip()))
@@ -115,21 +116,21 @@
         .merge(("shutdown.signals", Vec::<String>::new()))
 }
 
-/// Sends the address that the endpoint is bound to once it listens.
-pub fn report_bound_address(bound: oneshot::Sender<SocketAddr>) -> rocket::fairing::AdHoc {
-    let bound = std::sync::Mutex::new(Some(bound));
+/// Sends the bound address once the endpoint listens.
+pub fn report_bound_address(address_tx: oneshot::Sender<SocketAddr>) -> rocket::fairing::AdHoc {
+    let address_tx = std::sync::Mutex::new(Some(address_tx));
     rocket::fairing::AdHoc::on_liftoff("bound", move |rocket| {
         let config = rocket.config();
         let address = SocketAddr::new(config.address, config.port);
-        if let Some(bound) = bound.lock().unwrap().take() {
-            // Nobody waits for it any more when the daemon stops while it starts.
-            let _ = bound.send(address);
+        if let Some(address_tx) = address_tx.lock().unwrap().take() {
+            // The receiver is gone if the daemon stops during start-up.
+            let _ = address_tx.send(address);
         }
         Box::pin(async {})
     })
 }
 
-/// Serves the operator endpoint; sends the bound address once it listens.
+/// Serves the operator endpoint until shutdown, and sends the bound address once it listens.
 pub async fn serve(
     address: SocketAddr,
     id: String,
@@ -137,7 +138,7 @@
     view: watch::Receiver<Arc<View>>,
     metrics: Metrics,
     stopping: CancellationToken,
-    bound: oneshot::Sender<SocketAddr>,
+    address_tx: oneshot::Sender<SocketAddr>,
 ) -> Result<(), rocket::Error> {
     let _ = rocket::custom(figment(address))
         .manage(Context {
@@ -148,7 +149,7 @@
             metrics,
         })
         .mount("/", routes![status, ready, metrics])
-        .attach(report_bound_address(bound))
+        .attach(report_bound_address(address_tx))
         .launch()
         .await?;
     Ok(())
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,7 +1,7 @@
-//! Pools of backend connections, one per backend server, on `deadpool-postgres`.
+//! Pools of backend connections, one per backend server.
 //!
-//! Connections are scarce (about 30 per server, brief "Sizes of today"), so callers share them
-//! per statement, or per transaction while one is open (see [`crate::session`]).
+//! A server accepts few connections, so a caller holds one only for a statement or a transaction
+//! (see [`crate::session`]).
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 
 use crate::{backend, config::Config};
 
-/// Builds the pool for one backend server; connections open lazily on first use.
+/// Builds the pool for one backend server. Connections are opened on demand, at most `size`.
 pub fn build(address: SocketAddr, database: &str, size: usize, config: &Config) -> Pool {
     let manager = Manager::from_config(
         backend::options(address, database, config),
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -1,8 +1,8 @@
-//! Which kind of statement a query string is, and which server serves it.
+//! Classification of query strings, and selection of the server that runs them.
 //!
-//! Statements are classified with `sqlparser`: plain queries are reads; `BEGIN` opens a
-//! transaction pinned to the primary; anything else, including text that does not parse, is a
-//! write and goes to the primary, which is always safe (`docs/DESIGN.md`, "Routing").
+//! Plain queries are reads. `BEGIN` opens a transaction on the primary. Everything else, including
+//! text that does not parse, is a write and goes to the primary, which is always safe
+//! (`docs/DESIGN.md`, "Routing").
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -18,21 +18,22 @@
 
 use crate::view::{Group, Role};
 
-/// The setting that carries a session's position token.
+/// The session variable that contains a session's position token.
 pub const POSITION_SETTING: &str = "dandelionpitch.position";
 
-/// What a query string asks for.
+/// The kind of a query string, which determines where and how it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Only reads, with no locking clause.
     Read,
     /// Anything that may change data.
     Write,
-    /// Text that does not parse: perhaps a write, perhaps the start of a transaction.
+    /// Text that does not parse; it may change data, or begin a transaction.
     Unparsed,
-    /// Several statements of which some begin or end a transaction.
+    /// Several statements, at least one of which begins or ends a transaction; also a commit or
+    /// rollback with `AND CHAIN`.
     Script {
-        /// Whether a transaction is open after the last of them.
+        /// Whether a transaction is open after the last statement.
         open_after: bool,
     },
     /// `BEGIN` or `START TRANSACTION`.
@@ -41,22 +42,23 @@
     Commit,
     /// `ROLLBACK`.
     Rollback,
-    /// `DISCARD ALL`, answered by the proxy, which forgets the session's values.
+    /// `DISCARD ALL`, answered by the proxy, which drops the session's variables.
     Discard,
     /// `SHOW dandelionpitch.position`, answered by the proxy.
     ShowPosition,
-    /// `SET dandelionpitch.position = '...'`, kept by the proxy.
+    /// `SET dandelionpitch.position = '...'`, answered by the proxy; contains the new token.
     SetPosition(String),
 }
 
-/// A value a session has set, and the statement that sets it again on another connection.
+/// A session variable, and the statement that sets it on another connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Variable {
     pub name: String,
     pub statement: String,
 }
 
-/// The kind of a query string, the command tag of each statement in it, and what it sets.
+/// The kind of a query string, the command tag of each of its statements, and the session variables
+/// that it sets.
 #[derive(Clone, Debug)]
 pub struct Analysis {
     pub kind: Kind,
@@ -64,7 +66,7 @@
     pub variables: Vec<Variable>,
 }
 
-/// Classifies a query string.
+/// Parses and classifies a query string.
 pub fn analyze(query: &str) -> Analysis {
     let Ok(statements) = Parser::parse_sql(&PostgreSqlDialect {}, query) else {
         return Analysis {
@@ -73,11 +75,11 @@
             variables: Vec::new(),
         };
     };
-    let tags = statements.iter().map(tag).collect();
+    let tags = statements.iter().map(command_tag).collect();
     let kind = match statements.as_slice() {
-        [one] => single(one),
+        [one] => classify_single(one),
         many if many.iter().all(is_read) => Kind::Read,
-        many => script(many),
+        many => classify_script(many),
     };
     let variables = statements.iter().filter_map(session_variable).collect();
     Analysis {
@@ -87,7 +89,8 @@
     }
 }
 
-/// What a statement sets for the rest of the session; `SET LOCAL` ends with its transaction.
+/// The variable that a statement sets for the rest of the session. `SET LOCAL` only lasts until the
+/// end of the transaction, so it is not included.
 fn session_variable(statement: &Statement) -> Option<Variable> {
     let Statement::Set(set) = statement else {
         return None;
@@ -107,9 +110,9 @@
     })
 }
 
-/// The kind of several statements: the last one that begins or ends a transaction decides
-/// what is open after them.
-fn script(statements: &[Statement]) -> Kind {
+/// Classifies several statements. The last one that begins or ends a transaction determines whether
+/// one is open after them.
+fn classify_script(statements: &[Statement]) -> Kind {
     let mut controls = statements.iter().filter_map(|statement| match statement {
         Statement::StartTransaction { .. } => Some(true),
         Statement::Commit { chain, .. } => Some(*chain),
@@ -125,7 +128,7 @@
     }
 }
 
-fn single(statement: &Statement) -> Kind {
+fn classify_single(statement: &Statement) -> Kind {
     match statement {
         Statement::StartTransaction { .. } => Kind::Begin,
         Statement::Commit { chain: true, .. } | Statement::Rollback { chain: true, .. } => {
@@ -136,25 +139,25 @@
             savepoint: None, ..
         } => Kind::Rollback,
         Statement::Discard { .. } => Kind::Discard,
-        Statement::ShowVariable { variable } if name(variable) == POSITION_SETTING => {
+        Statement::ShowVariable { variable } if dotted_name(variable) == POSITION_SETTING => {
             Kind::ShowPosition
         }
         Statement::Set(Set::SingleAssignment {
             variable, values, ..
         }) if variable.to_string() == POSITION_SETTING => {
-            Kind::SetPosition(values.first().map(text).unwrap_or_default())
+            Kind::SetPosition(values.first().map(literal_text).unwrap_or_default())
         }
         other if is_read(other) => Kind::Read,
         _ => Kind::Write,
     }
 }
 
-fn name(parts: &[sqlparser::ast::Ident]) -> String {
+fn dotted_name(parts: &[sqlparser::ast::Ident]) -> String {
     let parts: Vec<&str> = parts.iter().map(|part| part.value.as_str()).collect();
     parts.join(".")
 }
 
-fn text(expr: &Expr) -> String {
+fn literal_text(expr: &Expr) -> String {
     match expr {
         Expr::Value(value) => match &value.value {
             Literal::SingleQuotedString(text) => text.clone(),
@@ -172,8 +175,9 @@
     }
 }
 
-/// The command tag PostgreSQL sends for a statement; `tokio-postgres` reports only the count.
-fn tag(statement: &Statement) -> &'static str {
+/// The command tag that PostgreSQL sends for a statement. `tokio-postgres` only reports its row
+/// count.
+fn command_tag(statement: &Statement) -> &'static str {
     match statement {
         Statement::Query(_) => "SELECT",
         Statement::Insert(_) => "INSERT",
@@ -189,12 +193,13 @@
     }
 }
 
-/// Spreads reads over the replicas that qualify.
-static TURN: AtomicUsize = AtomicUsize::new(0);
+/// Distributes reads round-robin over the eligible replicas.
+static NEXT_REPLICA: AtomicUsize = AtomicUsize::new(0);
 
-/// The servers of a group this proxy does not watch that may serve a read, in the order to try
-/// them; each has yet to show that it is a replica, holds the floor and is fresh enough.
-pub fn unwatched(group: &Group, now: Instant) -> Vec<usize> {
+/// The servers that may serve a read of a group that this proxy does not watch, in the order
+/// to try them. Whether each is a replica, has applied the session's floor and is within the
+/// staleness bound must be checked on the server.
+pub fn unwatched_candidates(group: &Group, now: Instant) -> Vec<usize> {
     let primary = group.primary(now);
     let mut order: Vec<usize> = (0..group.servers.len())
         .filter(|&index| Some(index) != primary)
@@ -203,44 +208,48 @@
         })
         .collect();
     if !order.is_empty() {
-        let first = TURN.fetch_add(1, Ordering::Relaxed) % order.len();
+        let first = NEXT_REPLICA.fetch_add(1, Ordering::Relaxed) % order.len();
         order.rotate_left(first);
     }
     order
 }
 
-/// What a replica must show, by its last polled status, to be chosen for a read.
+/// What the last polled status of a replica must show for the replica to be selected for a read.
 #[derive(Clone, Copy, Debug)]
-pub enum Need {
-    /// It has applied the session's floor.
+pub enum Criterion {
+    /// It is within the staleness bound and has applied the session's floor.
     Floor(Position),
-    /// Only fresh and within the staleness allowance; the floor is checked on the replica.
-    Check,
+    /// It is within the staleness bound; the floor must then be checked on the replica.
+    Staleness,
 }
 
-/// A replica that may serve a read: fresh status, within `max_staleness`, and as `need` says.
-/// `None` sends the read elsewhere.
-pub fn replica(group: &Group, need: Need, max_staleness: Duration) -> Option<usize> {
+/// Selects a replica whose last polled status is fresh, within `max_staleness` and meets
+/// `criterion`; `None` if there is none.
+pub fn select_replica(
+    group: &Group,
+    criterion: Criterion,
+    max_staleness: Duration,
+) -> Option<usize> {
     if max_staleness.is_zero() {
         return None;
     }
     let now = Instant::now();
-    let fit: Vec<usize> = (0..group.servers.len())
+    let eligible: Vec<usize> = (0..group.servers.len())
         .filter(|&index| !group.servers[index].leaving)
         .filter(|&index| {
             group.servers[index]
                 .fresh_status(now, group.status_ttl)
                 .is_some_and(|status| {
-                    let covered = match need {
-                        Need::Floor(floor) => status.position.covers(floor),
-                        Need::Check => true,
+                    let covered = match criterion {
+                        Criterion::Floor(floor) => status.position.covers(floor),
+                        Criterion::Staleness => true,
                     };
                     status.role == Role::Replica && covered && status.age(now) <= max_staleness
                 })
         })
         .collect();
-    match fit.len() {
+    match eligible.len() {
         0 => None,
-        count => Some(fit[TURN.fetch_add(1, Ordering::Relaxed) % count]),
+        count => Some(eligible[NEXT_REPLICA.fetch_add(1, Ordering::Relaxed) % count]),
     }
 }
--- a/crates/proxy/src/session/read.rs
+++ b/crates/proxy/src/session/read.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     metrics::Target,
-    route::{self, Analysis, Need},
+    route::{self, Analysis, Criterion},
     view::{Group, Role, Status},
 };
 
@@ -59,7 +59,7 @@
             let replica = status.role == Role::Replica;
             replica && status.position.covers(floor) && age <= call.caller.max_staleness
         };
-        for index in route::unwatched(group, Instant::now()) {
+        for index in route::unwatched_candidates(group, Instant::now()) {
             let server = &group.servers[index];
             let Some(mut replica) = self.checkout_soon(server, call).await else {
                 server.cooldown.start();
@@ -131,7 +131,7 @@
         let view = self.shared.view.borrow().clone();
         let group = group(&view, call.caller)?;
         let staleness = call.caller.max_staleness;
-        if let Some(index) = route::replica(group, Need::Floor(floor), staleness) {
+        if let Some(index) = route::select_replica(group, Criterion::Floor(floor), staleness) {
             // A replica that has just gone is no reason to fail a read another server can run.
             if let Ok(connection) = self.checkout(&group.servers[index], call).await {
                 return Ok(Some(connection));
@@ -151,7 +151,7 @@
         floor: Position,
         call: Call<'_>,
     ) -> Option<Connection> {
-        let index = route::replica(group, Need::Check, call.caller.max_staleness)?;
+        let index = route::select_replica(group, Criterion::Staleness, call.caller.max_staleness)?;
         let mut connection = self.checkout(&group.servers[index], call).await.ok()?;
         let applied = connection.position(call.deadline).await?;
         if applied.covers(floor) {
