--- a/crates/proxy/src/daemon.rs
+++ b/crates/proxy/src/daemon.rs
@@ -72,7 +72,10 @@
     let drain_limit = config.drain_limit;
     control::spawn(config, addresses, metrics.clone(), view_tx);
     crate::announce::print_addresses(listen, operator_address);
-    log::info!(target: "daemon", "Listening for callers on {listen} and for operators on {operator_address}.");
+    log::info!(
+        target: "daemon",
+        "Listening for callers on {listen} and for operators on {operator_address}."
+    );
     let shared = Arc::new(Shared {
         view,
         metrics,
@@ -118,10 +121,14 @@
 
 /// Waits until all sessions are closed, for at most `limit`.
 async fn drain(open_sessions: &AtomicUsize, limit: Duration) {
-    log::info!(target: "daemon", "Stopping; {} sessions open.", open_sessions.load(Ordering::SeqCst));
+    log::info!(
+        target: "daemon", "Stopping; {} sessions open.", open_sessions.load(Ordering::SeqCst)
+    );
     let deadline = Instant::now() + limit;
     while open_sessions.load(Ordering::SeqCst) > 0 && Instant::now() < deadline {
         tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
-    log::info!(target: "daemon", "Stopped; {} sessions still open.", open_sessions.load(Ordering::SeqCst));
+    log::info!(
+        target: "daemon", "Stopped; {} sessions still open.", open_sessions.load(Ordering::SeqCst)
+    );
 }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,10 +1,11 @@
-//! One caller connection: routing of its statements, its transaction, and its
-//! read-your-writes floor.
+//! One caller connection: routing of its statements, its transaction, and its read-your-writes
+//! floor.
 //!
-//! The floor is the log position the session's reads must see. It comes from the caller's
-//! token (startup option or `SET dandelionpitch.position`), grows with each acknowledged
-//! write, and, when the caller brings no token, starts as a barrier: the primary's current
-//! position, read before the first read (`docs/DESIGN.md`, "Read-your-writes after roaming").
+//! The floor is the log position that a server must have applied to serve the session's reads. The
+//! caller may set it with a position token (startup option or `SET dandelionpitch.position`), and
+//! each acknowledged write raises it. Without a token, it is initialised before the first read that
+//! may go to a replica, with a barrier: the current position of the confirmed primary
+//! (`docs/DESIGN.md`, "Read-your-writes after roaming").
 
 mod answer;
 mod checkout;
@@ -45,18 +46,18 @@
     view::View,
 };
 
-/// How soon a statement for which there was no primary, or no connection to it, or which a
-/// superseded one refused, is tried again.
+/// The delay before retrying a statement that did not run because there was no primary, no
+/// connection to it, or the server was no longer primary.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the daemon shares with every session.
+/// State and settings shared by all sessions.
 #[derive(Debug)]
 pub struct Shared {
     pub view: watch::Receiver<Arc<View>>,
     pub metrics: Metrics,
     /// How long a statement may wait for a primary or a free backend connection.
     pub acquire_timeout: Duration,
-    /// How long a server may take to give its status along with a read.
+    /// How long a server may take to report its status before it runs a read.
     pub status_timeout: Duration,
 }
 
@@ -67,15 +68,13 @@
     None,
     /// Open on this connection.
     Open(Box<Pinned>),
-    /// Failed; the caller has yet to end it.
-    ///
-    /// Failure: a transaction's server dies, the caller goes on with the next statement, and
-    /// it is run and kept by itself on another server. Guard: until the caller ends the
-    /// transaction, every statement is refused.
+    /// Failed, but not yet ended by the caller. Until then every other statement is refused, so that
+    /// none of them runs and commits on its own outside the transaction.
     Aborted,
 }
 
-/// The connection of an open transaction; closed, not shared, if the session ends first.
+/// The connection of an open transaction. If the session ends first, it is closed instead of
+/// returned to its pool.
 #[derive(Debug)]
 struct Pinned(Connection);
 
@@ -86,10 +85,10 @@
 }
 
 impl Pinned {
-    /// Hands the connection back to its pool; the transaction is over.
+    /// Returns the connection to its pool after the transaction has ended.
     async fn release(mut self, deadline: Instant) {
-        let connection = std::mem::replace(&mut self.0, Connection::spent());
-        connection.finish(deadline).await;
+        let connection = std::mem::replace(&mut self.0, Connection::closed());
+        connection.return_to_pool(deadline).await;
     }
 }
 
@@ -99,23 +98,23 @@
     caller: Option<Arc<Caller>>,
     floor: Option<Position>,
     transaction: Transaction,
-    /// What the session has set, in the order it did.
+    /// The session variables, in the order in which they were set.
     variables: Arc<Vec<Variable>>,
 }
 
 impl State {
-    /// Notes what a query string that succeeded has set.
-    fn keep(&mut self, set: &[Variable]) {
-        if set.is_empty() {
+    /// Adds the variables set by a query string that succeeded, replacing those of the same name.
+    fn record_variables(&mut self, new_variables: &[Variable]) {
+        if new_variables.is_empty() {
             return;
         }
         let variables = Arc::make_mut(&mut self.variables);
-        variables.retain(|old| set.iter().all(|new| new.name != old.name));
-        variables.extend_from_slice(set);
+        variables.retain(|old| new_variables.iter().all(|new| new.name != old.name));
+        variables.extend_from_slice(new_variables);
     }
 }
 
-/// One query string on its way, with the time by which it is answered.
+/// A query string being executed, with the deadline for its answer.
 #[derive(Clone, Copy, Debug)]
 struct Call<'a> {
     query: &'a str,
@@ -130,27 +129,28 @@
 pub struct Session {
     shared: Arc<Shared>,
     state: Mutex<State>,
-    /// Set from a query's arrival until its whole answer has been handed to the socket.
-    answering: AtomicBool,
+    /// True from the arrival of a query until its complete answer is written to the socket.
+    is_answering: AtomicBool,
 }
 
 type Answer = Result<Vec<Response>, Refusal>;
 
 impl Session {
-    /// A session for a new caller connection.
+    /// Creates the session of a new caller connection.
     pub fn new(shared: Arc<Shared>) -> Arc<Self> {
         Arc::new(Self {
             shared,
             state: Mutex::new(State::default()),
-            answering: AtomicBool::new(false),
+            is_answering: AtomicBool::new(false),
         })
     }
 
-    /// Whether the connection can be closed without cutting off a request or a transaction.
+    /// Whether the connection can be closed without interrupting a request or a transaction.
     pub fn is_idle(&self) -> bool {
         let state = self.state.try_lock();
-        let none = state.is_ok_and(|state| matches!(state.transaction, Transaction::None));
-        none && !self.answering.load(Ordering::SeqCst)
+        let no_transaction =
+            state.is_ok_and(|state| matches!(state.transaction, Transaction::None));
+        no_transaction && !self.is_answering.load(Ordering::SeqCst)
     }
 
     async fn run(&self, query: &str, analysis: &Analysis) -> Answer {
@@ -165,18 +165,16 @@
             deadline: Instant::now() + caller.timeout,
         };
         match std::mem::take(&mut state.transaction) {
-            Transaction::None => self.outside(&mut state, call).await,
-            Transaction::Open(pinned) => self.inside(&mut state, pinned, call).await,
-            Transaction::Aborted => write::aborted(&mut state, &analysis.kind),
+            Transaction::None => self.run_outside_transaction(&mut state, call).await,
+            Transaction::Open(pinned) => self.run_in_transaction(&mut state, pinned, call).await,
+            Transaction::Aborted => write::answer_aborted(&mut state, &analysis.kind),
         }
     }
 
-    /// What the bundle in force says of the session's caller; within a transaction, what it
-    /// said when the transaction began.
+    /// The caller's settings in the applied bundle; within a transaction, those from when it began.
     ///
-    /// Failure: a session stays open for days, and what a new bundle allows or forbids its
-    /// caller would hold only for those who connect later. Guard: it is looked up for every
-    /// statement outside a transaction.
+    /// They are looked up for every statement outside a transaction, so that a new bundle also
+    /// applies to sessions that are already open.
     fn caller(&self, state: &mut State) -> Result<Arc<Caller>, Refusal> {
         if let (Some(caller), Transaction::Open(_)) = (&state.caller, &state.transaction) {
             return Ok(caller.clone());
@@ -184,9 +182,10 @@
         let view = self.shared.view.borrow().clone();
         let bundle = view.bundle.as_ref();
         let caller = bundle.and_then(|bundle| bundle.caller(&state.user).cloned());
-        let moved = |old: &Arc<Caller>| caller.as_ref().is_some_and(|new| new.group != old.group);
-        if state.caller.as_ref().is_some_and(moved) {
-            // A position in one group's log says nothing about another's.
+        let group_changed =
+            |old: &Arc<Caller>| caller.as_ref().is_some_and(|new| new.group != old.group);
+        if state.caller.as_ref().is_some_and(group_changed) {
+            // Log positions of different groups cannot be compared.
             state.floor = None;
         }
         state.caller = caller;
@@ -196,8 +195,8 @@
         }
     }
 
-    /// Runs a query string that comes outside a transaction.
-    async fn outside(&self, state: &mut State, call: Call<'_>) -> Answer {
+    /// Runs a query string while no transaction is open.
+    async fn run_outside_transaction(&self, state: &mut State, call: Call<'_>) -> Answer {
         match &call.analysis.kind {
             Kind::ShowPosition => Ok(vec![answer::position_rows(state.floor)]),
             Kind::SetPosition(token) => set_position(state, token),
@@ -209,8 +208,9 @@
             Kind::Begin => self.begin(state, call).await,
             Kind::Script { .. } => {
                 self.shared.metrics.write();
-                let connection = self.primary(call).await?;
-                self.inside(state, Box::new(Pinned(connection)), call).await
+                let connection = self.checkout_primary(call).await?;
+                self.run_in_transaction(state, Box::new(Pinned(connection)), call)
+                    .await
             }
             Kind::Write | Kind::Commit | Kind::Rollback | Kind::Unparsed => {
                 self.write(state, call).await
@@ -227,14 +227,14 @@
     Ok(vec![Response::Execution(Tag::new("SET"))])
 }
 
-fn refuse(refusal: Refusal, metrics: &Metrics) -> Response {
-    if let Some(code) = refusal.counted() {
+fn error_response(refusal: Refusal, metrics: &Metrics) -> Response {
+    if let Some(code) = refusal.metric_code() {
         metrics.refusal(code);
     }
     Response::Error(Box::new(ErrorInfo::from(refusal)))
 }
 
-/// The position token a caller brings in its startup options, as `-c dandelionpitch.position=T/L`.
+/// The position token in a caller's startup options, `-c dandelionpitch.position=T/L`.
 fn startup_token(options: &str) -> Option<Position> {
     options
         .split_whitespace()
@@ -281,9 +281,9 @@
         C::Error: Debug,
         PgWireError: From<<C as Sink<PgWireBackendMessage>>::Error>,
     {
-        self.answering.store(true, Ordering::SeqCst);
+        self.is_answering.store(true, Ordering::SeqCst);
         let result = self._on_query(client, query).await;
-        self.answering.store(false, Ordering::SeqCst);
+        self.is_answering.store(false, Ordering::SeqCst);
         result
     }
 
@@ -295,7 +295,7 @@
     {
         let analysis = route::analyze(query);
         let answer = self.run(query, &analysis).await;
-        let failed = answer.as_ref().is_err_and(Refusal::burns);
+        let failed = answer.as_ref().is_err_and(Refusal::is_proxy_failure);
         self.shared.metrics.statement(!failed);
         let floor = self.state.lock().await.floor;
         if let (Some(floor), Kind::Write | Kind::Commit | Kind::Script { .. }) =
@@ -306,11 +306,11 @@
                 .feed(PgWireBackendMessage::ParameterStatus(status))
                 .await?;
         }
-        Ok(answer.unwrap_or_else(|refusal| vec![refuse(refusal, &self.shared.metrics)]))
+        Ok(answer.unwrap_or_else(|refusal| vec![error_response(refusal, &self.shared.metrics)]))
     }
 }
 
-/// The handlers pgwire asks for, all served by the session.
+/// The protocol handlers for `pgwire`; the session implements all of them.
 pub struct Handlers(pub Arc<Session>);
 
 impl PgWireServerHandlers for Handlers {
--- a/crates/proxy/src/session/answer.rs
+++ b/crates/proxy/src/session/answer.rs
@@ -1,4 +1,4 @@
-//! Turns a backend's answer into the messages a caller gets.
+//! Converts a backend server's answer into the messages for the caller.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     text_response(vec![POSITION_SETTING.to_owned()], vec![vec![Some(text)]])
 }
 
-/// Rows of text under the given column names.
+/// A result set with text columns.
 fn text_response(names: Vec<String>, rows: Vec<Vec<Option<String>>>) -> Response {
     let fields: Vec<FieldInfo> = names
         .into_iter()
@@ -39,12 +39,12 @@
     Response::Query(QueryResponse::new(schema, stream::iter(encoded)))
 }
 
-/// The responses for what a backend sent, with the command tags of `analysis`, which
-/// `tokio-postgres` does not hand on.
+/// Converts a backend server's messages, with the command tags of `analysis`, since
+/// `tokio-postgres` does not return the server's.
 pub fn responses(messages: Vec<SimpleQueryMessage>, analysis: &Analysis) -> Vec<Response> {
-    // A savepoint's rollback and a chained commit carry the tag of an end, but are none; the
-    // caller's driver must not be told that its transaction is over.
-    let ends = match analysis.kind {
+    // A rollback to a savepoint and a commit with `AND CHAIN` have the command tag of a transaction
+    // end but leave a transaction open, and the caller must not be told that it has ended.
+    let is_end = match analysis.kind {
         Kind::Commit | Kind::Rollback => true,
         Kind::Script { .. } => analysis.tags.len() > 1,
         _ => false,
@@ -68,7 +68,7 @@
             SimpleQueryMessage::CommandComplete(count) => {
                 let tag = tags.next().copied().unwrap_or("OK");
                 let rows = std::mem::take(&mut rows);
-                responses.push(complete(tag, count, names.take(), rows, ends));
+                responses.push(completed(tag, count, names.take(), rows, is_end));
             }
             _ => {}
         }
@@ -76,17 +76,17 @@
     responses
 }
 
-fn complete(
+fn completed(
     tag: &str,
     count: u64,
     names: Option<Vec<String>>,
     rows: Vec<Vec<Option<String>>>,
-    ends: bool,
+    is_end: bool,
 ) -> Response {
     match (tag, names) {
         (_, Some(names)) => text_response(names, rows),
         ("BEGIN", None) => Response::TransactionStart(Tag::new(tag)),
-        ("COMMIT" | "ROLLBACK", None) if ends => Response::TransactionEnd(Tag::new(tag)),
+        ("COMMIT" | "ROLLBACK", None) if is_end => Response::TransactionEnd(Tag::new(tag)),
         ("INSERT", None) => {
             Response::Execution(Tag::new(tag).with_oid(0).with_rows(count as usize))
         }
--- a/crates/proxy/src/session/connection.rs
+++ b/crates/proxy/src/session/connection.rs
@@ -1,4 +1,4 @@
-//! A pooled backend connection while one caller's statement or transaction has it.
+//! A pooled backend connection, checked out for a statement or transaction of one caller.
 
 use std::time::{Duration, Instant};
 
@@ -10,80 +10,81 @@
 
 use crate::{backend, route::Variable, view::Status};
 
-/// The SQLSTATE a server refuses a write with when it does not lead; nothing was run.
+/// The SQLSTATE of a write that a server did not run because it is not the primary.
 const READ_ONLY: &str = "25006";
-/// The SQLSTATE of a commit whose server lost the lead before it was replicated.
+/// The SQLSTATE of a commit that was not yet replicated when its server ceased to be primary.
 const COMPLETION_UNKNOWN: &str = "40003";
 
-/// Why a statement has no result.
+/// Why a statement did not return a result.
 #[derive(Debug)]
 pub enum Failure {
-    /// The server does not lead and has not run it.
+    /// The server is not the primary and did not run it.
     ReadOnly,
-    /// The server refused it with an error of its own.
+    /// The server returned an error.
     Server(Box<ErrorInfo>),
-    /// It was sent, and its answer will not come; the connection is closed.
+    /// It may have run, since no conclusive answer was received; the connection is closed.
     Lost(String),
 }
 
-/// What a backend answered.
+/// The answer of a backend server.
 pub type Answer = Result<Vec<SimpleQueryMessage>, Failure>;
 
-/// What to ask on the same connection, sent along with a statement.
+/// A query that is pipelined with a statement, to save a round trip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Along {
+pub enum Pipelined {
     Nothing,
-    /// The log position after the statement: where a write can be read.
+    /// The log position after the statement; a server that has applied it shows the statement's
+    /// writes.
     Position,
-    /// A confirmation, before the statement runs, that the server leads.
+    /// Confirmation that the server is primary, before the statement runs.
     Barrier,
 }
 
-/// How a read went that was sent along with a question for the server's status.
+/// The outcome of a read that depends on the server's status.
 #[derive(Debug)]
-pub enum Checked {
-    /// The status was good enough, and this is the answer.
-    Fit(Answer),
-    /// The status was not good enough; the rows are not passed on.
-    Unfit,
+pub enum Outcome {
+    /// The status was acceptable; contains the read's answer.
+    Valid(Answer),
+    /// The status was not acceptable; the rows are discarded.
+    Invalid,
     /// The server did not answer; the connection is closed.
-    Silent,
+    Unresponsive,
 }
 
-/// A backend connection. Dropped, it goes back to its pool, unless a statement failed on it
-/// in a way that leaves its state unknown.
+/// A backend connection. When dropped, it is returned to its pool unless it was closed or may have
+/// session variables set.
 #[derive(Debug)]
 pub struct Connection {
     object: Option<Object>,
     superseded: CancellationToken,
-    /// Whether variables of one session may be set on it.
-    customized: bool,
+    /// Whether it may have the variables of one session set.
+    has_variables: bool,
 }
 
-/// Failure: a value that one caller set stays on a shared connection, and the next caller's
-/// statements run under it. Guard: a connection that may carry such a value and was not
-/// cleared by [`Connection::finish`] is closed instead of going back to its pool.
+/// Closes a connection that may have session variables set and was not reset by
+/// [`Connection::return_to_pool`], since they would apply to the next caller's statements.
 impl Drop for Connection {
     fn drop(&mut self) {
-        if self.customized {
+        if self.has_variables {
             self.close();
         }
     }
 }
 
 impl Connection {
-    /// Takes a connection from `pool`; `superseded` cuts short what runs on it.
+    /// Checks out a connection from `pool`. If `superseded` is cancelled, in-flight statements fail
+    /// at once.
     pub async fn checkout(pool: &Pool, superseded: &CancellationToken) -> Result<Self, String> {
         let object = pool.get().await;
         Ok(Self {
             object: Some(object.map_err(|error| error.to_string())?),
             superseded: superseded.clone(),
-            customized: false,
+            has_variables: false,
         })
     }
 
-    /// Sets a session's variables on it, in one round trip.
-    pub async fn customize(
+    /// Sets a session's variables, in one round trip.
+    pub async fn set_variables(
         &mut self,
         variables: &[Variable],
         deadline: Instant,
@@ -91,10 +92,10 @@
         if variables.is_empty() {
             return Ok(());
         }
-        self.customized = true;
+        self.has_variables = true;
         let statements: Vec<&str> = variables.iter().map(|v| v.statement.as_str()).collect();
         let (answer, _) = self
-            .run(&statements.join("; "), Along::Nothing, deadline)
+            .run(&statements.join("; "), Pipelined::Nothing, deadline)
             .await;
         match answer {
             Ok(_) => Ok(()),
@@ -104,55 +105,56 @@
         }
     }
 
-    /// Notes that a statement may have left a session's value on it.
-    pub fn mark_customized(&mut self) {
-        self.customized = true;
+    /// Records that a statement may have set session variables.
+    pub fn mark_variables_set(&mut self) {
+        self.has_variables = true;
     }
 
-    /// Hands the connection back to its pool, cleared of a session's variables.
-    pub async fn finish(mut self, deadline: Instant) {
-        if !self.customized {
+    /// Returns the connection to its pool after resetting session variables. It is closed if that
+    /// fails.
+    pub async fn return_to_pool(mut self, deadline: Instant) {
+        if !self.has_variables {
             return;
         }
-        let (answer, _) = self.run("DISCARD ALL", Along::Nothing, deadline).await;
-        self.customized = answer.is_err();
+        let (answer, _) = self.run("DISCARD ALL", Pipelined::Nothing, deadline).await;
+        self.has_variables = answer.is_err();
     }
 
-    /// A connection that is already closed.
-    pub fn spent() -> Self {
+    /// Creates a closed connection, as a placeholder.
+    pub fn closed() -> Self {
         Self {
             object: None,
             superseded: CancellationToken::new(),
-            customized: false,
+            has_variables: false,
         }
     }
 
-    /// Closes the connection; a transaction open on it is rolled back by the server.
+    /// Closes the connection; the server rolls back a transaction that is open on it.
     ///
-    /// Failure: a connection with an open transaction, or with an answer still to come, goes
-    /// back to the pool, and the next caller's statement runs inside that transaction or gets
-    /// that answer. Guard: whoever leaves it in such a state calls this first.
+    /// Must be called if a transaction is open or an answer is outstanding. Otherwise the next
+    /// caller's statement would run inside that transaction or receive that answer.
     pub fn close(&mut self) {
         if let Some(object) = self.object.take() {
             drop(Object::take(object));
         }
     }
 
-    /// Runs `query`, and asks for `along` in the same round trip.
+    /// Runs `query`, pipelined with the query for `pipelined`. Returns the position if one was
+    /// requested and received.
     pub async fn run(
         &mut self,
         query: &str,
-        along: Along,
+        pipelined: Pipelined,
         deadline: Instant,
     ) -> (Answer, Option<Position>) {
         let Some(object) = &self.object else {
-            let lost = Failure::Lost("its connection is closed".to_owned());
+            let lost = Failure::Lost("the backend connection is closed".to_owned());
             return (Err(lost), None);
         };
-        let both = exchange(object, query, along, deadline);
+        let exchange = send_pipelined(object, query, pipelined, deadline);
         let outcome = tokio::select! {
-            outcome = both => Ok(outcome),
-            () = self.superseded.cancelled() => Err("its server has been superseded"),
+            outcome = exchange => Ok(outcome),
+            () = self.superseded.cancelled() => Err("the primary was superseded"),
             () = tokio::time::sleep_until(deadline.into()) => Err("no answer in time"),
         };
         let (answer, position) = match outcome {
@@ -165,49 +167,49 @@
         (answer, position)
     }
 
-    /// Runs a read, and asks for the server's status before it in the same round trip; the
-    /// answer counts only if `fit` accepts the status, which must come within `limit`.
+    /// Runs a read, pipelined after a status request. The answer is used only if the status arrives
+    /// within `limit` and `valid` returns true for it.
     pub async fn run_checked(
         &mut self,
         query: &str,
         limit: Duration,
         deadline: Instant,
-        fit: impl Fn(&Status) -> bool,
-    ) -> Checked {
+        valid: impl Fn(&Status) -> bool,
+    ) -> Outcome {
         let Some(object) = &self.object else {
-            return Checked::Silent;
+            return Outcome::Unresponsive;
         };
         let checked = async {
             let mut status = std::pin::pin!(backend::status(object, limit));
             let mut rows = std::pin::pin!(object.simple_query(query));
-            // The server answers in order: rows that come first mean the connection failed.
+            // The server answers in order: the read completes first only if the connection failed.
             let status = tokio::select! {
                 biased;
                 status = &mut status => status.ok(),
                 _ = &mut rows => None,
             };
             match status {
-                None => Checked::Silent,
-                Some(status) if fit(&status) => Checked::Fit(rows.await.map_err(Failure::from)),
+                None => Outcome::Unresponsive,
+                Some(status) if valid(&status) => Outcome::Valid(rows.await.map_err(Failure::from)),
                 Some(_) => match rows.await {
-                    Ok(_) => Checked::Unfit,
-                    Err(_) => Checked::Silent,
+                    Ok(_) => Outcome::Invalid,
+                    Err(_) => Outcome::Unresponsive,
                 },
             }
         };
         let checked = tokio::time::timeout_at(deadline.into(), checked).await;
         let checked = checked
-            .unwrap_or_else(|_| Checked::Fit(Err(Failure::Lost("no answer in time".to_owned()))));
+            .unwrap_or_else(|_| Outcome::Valid(Err(Failure::Lost("no answer in time".to_owned()))));
         if matches!(
             checked,
-            Checked::Silent | Checked::Fit(Err(Failure::Lost(_)))
+            Outcome::Unresponsive | Outcome::Valid(Err(Failure::Lost(_)))
         ) {
             self.close();
         }
         checked
     }
 
-    /// The server's status, read now; without an answer the connection is closed.
+    /// Requests the server's status; closes the connection on failure.
     pub async fn status(&mut self, limit: Duration) -> Option<Status> {
         let status = backend::status(self.object.as_deref()?, limit).await.ok();
         if status.is_none() {
@@ -216,10 +218,8 @@
         status
     }
 
-    /// The server's position, read now; without an answer the connection is closed.
-    ///
-    /// Failure: the connection has gone silent, and goes back to the pool with an answer still to
-    /// come; the next caller waits behind that for as long as it may. Guard: it is not used again.
+    /// Requests the server's log position. Closes the connection on failure, since an outstanding
+    /// answer would block the next caller.
     pub async fn position(&mut self, deadline: Instant) -> Option<Position> {
         let limit = deadline.saturating_duration_since(Instant::now());
         let position = backend::position(self.object.as_deref()?, limit).await.ok();
@@ -229,16 +229,16 @@
         position
     }
 
-    /// The server's position, once it is confirmed that it leads. A barrier without an answer
-    /// leaves the connection busy, so it is closed.
+    /// Requests the server's log position with confirmation that the server is primary. Closes the
+    /// connection on failure, since an outstanding barrier would block the next caller.
     pub async fn barrier(&mut self, deadline: Instant) -> Result<Position, String> {
         let Some(object) = &self.object else {
-            return Err("its connection is closed".to_owned());
+            return Err("the backend connection is closed".to_owned());
         };
         let limit = deadline.saturating_duration_since(Instant::now());
         let outcome = tokio::select! {
             outcome = backend::barrier(object, limit) => outcome.map_err(|error| error.to_string()),
-            () = self.superseded.cancelled() => Err("its server has been superseded".to_owned()),
+            () = self.superseded.cancelled() => Err("the primary was superseded".to_owned()),
         };
         if outcome.is_err() {
             self.close();
@@ -247,24 +247,24 @@
     }
 }
 
-type Sent = Result<Vec<SimpleQueryMessage>, tokio_postgres::Error>;
+type QueryResult = Result<Vec<SimpleQueryMessage>, tokio_postgres::Error>;
 
-/// Sends `query` and what goes along without waiting in between; the server answers in order.
-async fn exchange(
+/// Sends `query` and the pipelined query without waiting in between; the server answers in order.
+async fn send_pipelined(
     client: &Client,
     query: &str,
-    along: Along,
+    pipelined: Pipelined,
     deadline: Instant,
-) -> (Sent, Option<Position>) {
+) -> (QueryResult, Option<Position>) {
     let limit: Duration = deadline.saturating_duration_since(Instant::now());
     let statement = client.simple_query(query);
-    match along {
-        Along::Nothing => (statement.await, None),
-        Along::Position => {
+    match pipelined {
+        Pipelined::Nothing => (statement.await, None),
+        Pipelined::Position => {
             let (answer, position) = futures::join!(statement, backend::position(client, limit));
             (answer, position.ok())
         }
-        Along::Barrier => {
+        Pipelined::Barrier => {
             let (position, answer) = futures::join!(backend::barrier(client, limit), statement);
             (answer, position.ok())
         }
--- a/crates/proxy/src/session/read.rs
+++ b/crates/proxy/src/session/read.rs
@@ -1,5 +1,5 @@
-//! Where a session's reads go: to a replica that holds the session's floor and is fresh enough,
-//! else to the primary.
+//! A session's reads, which run on a replica that has applied the session's floor and is within the
+//! caller's staleness bound, or else on the primary.
 
 use std::time::Instant;
 
@@ -8,9 +8,9 @@
 use super::{
     answer,
     checkout::group,
-    connection::{self, Along, Checked, Connection, Failure},
+    connection::{self, Connection, Failure, Outcome, Pipelined},
     refusal::Refusal,
-    write::not_leading,
+    write::not_primary,
     Answer, Call, Session, State,
 };
 use crate::{
@@ -26,24 +26,25 @@
             if let Some(answer) = self.read_unwatched(floor, call).await? {
                 return answer;
             }
-            if let Some(mut replica) = self.replica(floor, call).await? {
+            if let Some(mut replica) = self.checkout_replica(floor, call).await? {
                 self.shared.metrics.read(Target::Replica);
-                let (answer, _) = replica.run(call.query, Along::Nothing, call.deadline).await;
-                replica.finish(call.deadline).await;
+                let (answer, _) = replica
+                    .run(call.query, Pipelined::Nothing, call.deadline)
+                    .await;
+                replica.return_to_pool(call.deadline).await;
                 return read_answer(answer, call.analysis);
             }
         }
         self.read_on_primary(state.floor, call).await
     }
 
-    /// Reads on a replica of a group this proxy does not watch: each is asked for its status
-    /// along with the read, and the next one is tried if that is not good enough. `None` when
-    /// there is no such replica, or the group is watched.
+    /// Reads on a replica of a group that this proxy does not watch. The status of each replica is
+    /// requested together with the read, and the next replica is tried if it is not acceptable.
+    /// `None` if there is no acceptable replica, or the group is watched.
     ///
-    /// Failure: a frozen replica, of which this proxy has no status, would hold every read
-    /// until the caller's timeout. Guard: a connection and the status must come within
-    /// `status_timeout` each, and a server that did not give them is left alone for a while by
-    /// all sessions.
+    /// Checkout and status must each complete within `status_timeout`. A server that fails to do so
+    /// gets no reads from any session for a cooldown period. Otherwise a frozen replica would block
+    /// every read until the caller's timeout.
     async fn read_unwatched(
         &self,
         floor: Position,
@@ -54,76 +55,77 @@
         if group.watched {
             return Ok(None);
         }
-        let fit = |status: &Status| {
+        let valid = |status: &Status| {
             let age = status.age(Instant::now());
             let replica = status.role == Role::Replica;
             replica && status.position.covers(floor) && age <= call.caller.max_staleness
         };
         for index in route::unwatched_candidates(group, Instant::now()) {
             let server = &group.servers[index];
-            let Some(mut replica) = self.checkout_soon(server, call).await else {
+            let Some(mut replica) = self.try_checkout(server, call).await else {
                 server.cooldown.start();
                 continue;
             };
             let limit = self.shared.status_timeout;
             let checked = replica
-                .run_checked(call.query, limit, call.deadline, fit)
+                .run_checked(call.query, limit, call.deadline, valid)
                 .await;
-            replica.finish(call.deadline).await;
+            replica.return_to_pool(call.deadline).await;
             match checked {
-                Checked::Fit(answer) => {
+                Outcome::Valid(answer) => {
                     self.shared.metrics.read(Target::Replica);
                     return Ok(Some(read_answer(answer, call.analysis)));
                 }
-                Checked::Unfit => {}
-                Checked::Silent => server.cooldown.start(),
+                Outcome::Invalid => {}
+                Outcome::Unresponsive => server.cooldown.start(),
             }
         }
         Ok(None)
     }
 
-    /// Reads on the primary, and passes the rows on only if it was confirmed to lead.
-    ///
-    /// Failure: a primary cut off with its data centre still believes it leads, and its rows
-    /// lack writes its successor acknowledged. Guard: see [`crate::backend::barrier`].
+    /// Reads on the primary, and returns the rows only if a barrier confirms that it is still
+    /// primary: the rows of a partitioned one may lack writes that its successor acknowledged (see
+    /// [`crate::backend::barrier`]).
     async fn read_on_primary(&self, floor: Option<Position>, call: Call<'_>) -> Answer {
         self.shared.metrics.read(Target::Primary);
-        let mut connection = self.primary(call).await?;
+        let mut connection = self.checkout_primary(call).await?;
         let (answer, barrier) = connection
-            .run(call.query, Along::Barrier, call.deadline)
+            .run(call.query, Pipelined::Barrier, call.deadline)
             .await;
         match barrier {
             Some(position) if position.covers(floor.unwrap_or_default()) => {
-                connection.finish(call.deadline).await;
+                connection.return_to_pool(call.deadline).await;
                 read_answer(answer, call.analysis)
             }
             _ => {
                 connection.close();
-                let why = "the server did not confirm that it leads".to_owned();
+                let why = "the server did not confirm that it is the primary".to_owned();
                 Err(Refusal::Unknown(why))
             }
         }
     }
 
-    /// The position the session's reads must see: its own, or a barrier on the primary.
+    /// The session's floor. If there is none yet, it is initialised with a barrier on the primary.
     async fn floor(&self, state: &mut State, call: Call<'_>) -> Result<Position, Refusal> {
         if let Some(floor) = state.floor {
             return Ok(floor);
         }
-        let mut connection = self.primary(call).await?;
-        let give_up = self.give_up(call);
-        let barrier = connection.barrier(give_up).await;
-        connection.finish(call.deadline).await;
+        let mut connection = self.checkout_primary(call).await?;
+        let send_deadline = self.send_deadline(call);
+        let barrier = connection.barrier(send_deadline).await;
+        connection.return_to_pool(call.deadline).await;
         let floor = barrier.map_err(|why| {
-            Refusal::NotRun(format!("the primary did not confirm that it leads: {why}"))
+            Refusal::NotRun(format!(
+                "the server did not confirm that it is the primary: {why}"
+            ))
         })?;
         state.floor = Some(floor);
         Ok(floor)
     }
 
-    /// A connection to a replica that has applied `floor` and is within the caller's
-    /// staleness, if there is one.
-    async fn replica(
+    /// Checks out a connection to a replica that has applied `floor` and is within the caller's
+    /// staleness bound, if there is one.
+    async fn checkout_replica(
         &self,
         floor: Position,
         call: Call<'_>,
@@ -132,20 +134,20 @@
         let group = group(&view, call.caller)?;
         let staleness = call.caller.max_staleness;
         if let Some(index) = route::select_replica(group, Criterion::Floor(floor), staleness) {
-            // A replica that has just gone is no reason to fail a read another server can run.
+            // If the checkout fails, another server may still serve the read.
             if let Ok(connection) = self.checkout(&group.servers[index], call).await {
                 return Ok(Some(connection));
             }
         }
-        Ok(self.checked_replica(group, floor, call).await)
+        Ok(self.checkout_verified_replica(group, floor, call).await)
     }
 
-    /// A replica connection whose own position, read just now, covers `floor`.
+    /// Checks out a connection to a replica and asks the replica whether it has applied `floor`.
     ///
-    /// The polled status lags the replicas by up to one status period, so a floor taken from
-    /// the primary a moment ago is usually applied already though the view does not show it.
-    /// Asking the replica costs one round trip there instead of a read on the primary.
-    async fn checked_replica(
+    /// The polled status may be one polling interval old, so a replica has usually applied a recent
+    /// floor before the status shows it. Asking costs a round trip to the replica but avoids a read
+    /// on the primary.
+    async fn checkout_verified_replica(
         &self,
         group: &Group,
         floor: Position,
@@ -157,7 +159,7 @@
         if applied.covers(floor) {
             return Some(connection);
         }
-        connection.finish(call.deadline).await;
+        connection.return_to_pool(call.deadline).await;
         None
     }
 }
@@ -166,7 +168,7 @@
     match answer {
         Ok(messages) => Ok(answer::responses(messages, analysis)),
         Err(Failure::Server(info)) => Err(Refusal::Server(info)),
-        Err(Failure::ReadOnly) => Err(not_leading(analysis)),
+        Err(Failure::ReadOnly) => Err(not_primary(analysis)),
         Err(Failure::Lost(why)) => Err(Refusal::Unknown(why)),
     }
 }
--- a/crates/proxy/src/session/refusal.rs
+++ b/crates/proxy/src/session/refusal.rs
@@ -1,44 +1,43 @@
-//! The refusals a proxy makes itself, and how each tells the caller what became of the request.
+//! Errors that a proxy returns to callers, and what each says about the outcome of the request.
 
 use pgwire::error::ErrorInfo;
 
-/// The SQLSTATE of a refusal for a request of which nothing is kept.
+/// The SQLSTATE of a request that had no effect.
 pub const NOT_RUN: &str = "57P03";
-/// The SQLSTATE of a request that reached a backend whose answer was lost.
+/// The SQLSTATE of a request that was sent to a backend server but whose answer was lost.
 pub const OUTCOME_UNKNOWN: &str = "08007";
 /// The SQLSTATE of a statement in a transaction that has already failed.
 const ABORTED: &str = "25P02";
-/// The SQLSTATE for a user name the bundle does not know.
+/// The SQLSTATE for a user name that is not in the bundle.
 const UNKNOWN_CALLER: &str = "28000";
-/// When a caller may come back, with the same request or to see what became of it, in
-/// milliseconds; a failover takes less.
+/// The delay before a caller should retry a request or check its outcome; longer than a failover.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// A refusal.
+/// A request that the proxy refused, or whose outcome it does not know.
 #[derive(Debug)]
 pub enum Refusal {
-    /// Never sent to a backend, refused by it, or part of a transaction whose `COMMIT` was
-    /// never sent; safe to send again after the pause.
+    /// Never sent to a backend server, refused by it, or part of a transaction whose `COMMIT` was
+    /// never sent; safe to retry after the delay.
     NotRun(String),
-    /// Sent, but the answer was lost; the caller must check before repeating.
+    /// Sent, but the answer was lost; the caller must check the outcome before a retry.
     Unknown(String),
-    /// The bundle in force does not know the user name.
+    /// The user name is not in the applied bundle.
     UnknownCaller(String),
-    /// The transaction has failed; only its end is accepted.
+    /// The transaction has failed; only `COMMIT` or `ROLLBACK` is accepted.
     Aborted,
-    /// The backend's own error, passed on.
+    /// An error returned by the backend server.
     Server(Box<ErrorInfo>),
 }
 
 impl Refusal {
-    /// Whether it counts against the service level: the proxy could not do what the caller may
-    /// ask for. A backend's own error, or a caller's mistake, does not.
-    pub fn burns(&self) -> bool {
+    /// Whether it counts against the service level objective. Errors of the backend server and
+    /// mistakes of the caller do not.
+    pub fn is_proxy_failure(&self) -> bool {
         matches!(self, Self::NotRun(_) | Self::Unknown(_))
     }
 
-    /// The name it is counted under in the metrics; `None` for a backend's own error.
-    pub fn counted(&self) -> Option<&'static str> {
+    /// The code under which metrics count it; `None` for an error of the backend server.
+    pub fn metric_code(&self) -> Option<&'static str> {
         match self {
             Self::NotRun(_) => Some(NOT_RUN),
             Self::Unknown(_) => Some(OUTCOME_UNKNOWN),
@@ -58,13 +57,11 @@
             ),
             Refusal::Unknown(why) => (
                 OUTCOME_UNKNOWN,
-                format!(
-                    "outcome unknown: {why}; check what became of it from {RETRY_AFTER_MS} ms on"
-                ),
+                format!("outcome unknown: {why}; check the outcome after {RETRY_AFTER_MS} ms"),
             ),
             Refusal::UnknownCaller(user) => (
                 UNKNOWN_CALLER,
-                format!("unknown caller {user:?}: no such user in the bundle in force"),
+                format!("unknown caller {user:?}: no such user in the applied bundle"),
             ),
             Refusal::Aborted => (
                 ABORTED,
