--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -45,8 +45,9 @@
 
 /// Connection options for the server at `address`.
 ///
-/// TCP keepalive and the user timeout close a connection within seconds if a device on the path
-/// has dropped its state: such a connection receives nothing any more, though new ones work.
+/// TCP keepalive and the TCP user timeout close a connection within seconds if a device on the
+/// network path has dropped its state. Such a connection stays silent, although new connections to
+/// the server work.
 pub fn options(address: SocketAddr, database: &str, config: &Config) -> tokio_postgres::Config {
     let mut options = tokio_postgres::Config::new();
     options
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -143,8 +143,8 @@
         self.refusals.add(1, &[KeyValue::new("code", code)]);
     }
 
-    /// Counts an answered query string, from which the error budget's burn rate is computed. `ok`
-    /// is `false` only if the proxy refused it or lost its outcome.
+    /// Counts an answered query string, for the burn rate of the service level objective. `ok` is
+    /// `false` if the proxy could not run it or does not know its outcome.
     pub fn statement(&self, ok: bool) {
         let outcome = match ok {
             true => "ok",
@@ -228,7 +228,7 @@
                 .iter()
                 .map(|(key, value)| format!("{key}={value:?}"))
                 .collect();
-            // Writing to a string cannot fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(
                 out,
                 "{}{{{}}} {}",
@@ -240,7 +240,8 @@
         out
     }
 
-    /// The current samples: sums as their value, histograms as their count and sum.
+    /// The current samples: the value of a counter or gauge; the buckets, count and sum of a
+    /// histogram.
     pub fn samples(&self) -> Vec<Sample> {
         let mut collected = ResourceMetrics::default();
         if self.reader.collect(&mut collected).is_err() {
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -42,11 +42,13 @@
     Commit,
     /// `ROLLBACK`.
     Rollback,
-    /// `DISCARD ALL`, answered by the proxy, which drops the session's variables.
+    /// `DISCARD ALL`. Outside a transaction, the proxy drops the session's variables and answers
+    /// itself.
     Discard,
-    /// `SHOW dandelionpitch.position`, answered by the proxy.
+    /// `SHOW dandelionpitch.position`, answered by the proxy outside a transaction.
     ShowPosition,
-    /// `SET dandelionpitch.position = '...'`, answered by the proxy; contains the new token.
+    /// `SET dandelionpitch.position = '...'` with the new token, answered by the proxy outside a
+    /// transaction.
     SetPosition(String),
 }
 
@@ -196,9 +198,9 @@
 /// Distributes reads round-robin over the eligible replicas.
 static NEXT_REPLICA: AtomicUsize = AtomicUsize::new(0);
 
-/// The servers that may serve a read of a group that this proxy does not watch, in the order
-/// to try them. Whether each is a replica, has applied the session's floor and is within the
-/// staleness bound must be checked on the server.
+/// The servers that may serve a read of a group that this proxy does not watch, in the order to try
+/// them. Whether a server is a replica, has applied the session's floor and is within the staleness
+/// bound must be checked with the server itself.
 pub fn unwatched_candidates(group: &Group, now: Instant) -> Vec<usize> {
     let primary = group.primary(now);
     let mut order: Vec<usize> = (0..group.servers.len())
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -68,8 +68,8 @@
     None,
     /// Open on this connection.
     Open(Box<Pinned>),
-    /// Failed, but not yet ended by the caller. Until then every other statement is refused, so that
-    /// none of them runs and commits on its own outside the transaction.
+    /// Failed, but not yet ended by the caller. Until then every other statement is refused, so
+    /// that none of them runs and commits on its own outside the transaction.
     Aborted,
 }
 
--- a/crates/proxy/src/session/refusal.rs
+++ b/crates/proxy/src/session/refusal.rs
@@ -30,8 +30,8 @@
 }
 
 impl Refusal {
-    /// Whether it counts against the service level objective. Errors of the backend server and
-    /// mistakes of the caller do not.
+    /// Whether it counts against the service level objective: the proxy could not run the request
+    /// or does not know its outcome. Errors of the backend server do not count.
     pub fn is_proxy_failure(&self) -> bool {
         matches!(self, Self::NotRun(_) | Self::Unknown(_))
     }
