--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,7 +1,6 @@
-//! Metrics through `opentelemetry`, read on demand by the operator endpoint `/metrics`.
+//! The proxy's metrics, recorded with `opentelemetry` and served at `/metrics`.
 //!
-//! The SDK aggregates; a manual reader collects when an operator asks, so nothing is sent
-//! anywhere unless somebody looks.
+//! Metrics are pulled, not pushed: a manual reader collects them for each request to the endpoint.
 
 use std::{
     fmt::Write,
@@ -36,8 +35,8 @@
     attempts: Counter<u64>,
     connections: Counter<u64>,
     store_errors: Counter<u64>,
-    entries_passed_over: Counter<u64>,
-    handed_over: Counter<u64>,
+    invalid_entries: Counter<u64>,
+    forwarded: Counter<u64>,
     log_lines_dropped: Gauge<u64>,
     version: Gauge<u64>,
     changes_age: Gauge<u64>,
@@ -46,29 +45,28 @@
     _provider: SdkMeterProvider,
 }
 
-/// The upper bounds of the latency histogram in seconds: fractions and multiples of the targets that
-/// routes usually have (0.2 to 0.8 s).
-const LATENCY_BOUNDS: [f64; 9] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2];
+/// Bucket boundaries of the latency histogram.
+const LATENCY_BOUNDS_SECS: [f64; 9] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2];
 
-/// Where a read went.
+/// The role of the server that a read was sent to.
 #[derive(Clone, Copy, Debug)]
 pub enum Target {
     Primary,
     Replica,
 }
 
-/// One figure as `/metrics` shows it.
+/// One value of a metric, as served at `/metrics`.
 #[derive(Debug, Serialize)]
-pub struct Figure {
+pub struct Sample {
     pub name: String,
     pub attributes: Vec<(String, String)>,
     pub value: f64,
 }
 
 #[derive(Debug)]
-struct Shared(Arc<ManualReader>);
+struct SharedReader(Arc<ManualReader>);
 
-impl MetricReader for Shared {
+impl MetricReader for SharedReader {
     fn register_pipeline(&self, pipeline: Weak<Pipeline>) {
         self.0.register_pipeline(pipeline)
     }
@@ -91,11 +89,11 @@
 }
 
 impl Default for Metrics {
-    /// A meter provider with a manual reader, and the proxy's instruments.
+    /// Creates the instruments on a meter provider of their own, with a manual reader.
     fn default() -> Self {
         let reader = Arc::new(ManualReader::builder().build());
         let provider = SdkMeterProvider::builder()
-            .with_reader(Shared(reader.clone()))
+            .with_reader(SharedReader(reader.clone()))
             .build();
         let meter = provider.meter("dandelionpitch");
         Self {
@@ -108,13 +106,13 @@
             answers: meter.u64_counter("answers").build(),
             latency: meter
                 .f64_histogram("latency_seconds")
-                .with_boundaries(LATENCY_BOUNDS.to_vec())
+                .with_boundaries(LATENCY_BOUNDS_SECS.to_vec())
                 .build(),
             attempts: meter.u64_counter("attempts").build(),
             connections: meter.u64_counter("connections_opened").build(),
             store_errors: meter.u64_counter("store_errors").build(),
-            entries_passed_over: meter.u64_counter("entries_passed_over").build(),
-            handed_over: meter.u64_counter("statements_handed_over").build(),
+            invalid_entries: meter.u64_counter("entries_passed_over").build(),
+            forwarded: meter.u64_counter("statements_handed_over").build(),
             log_lines_dropped: meter.u64_gauge("log_lines_dropped").build(),
             changes_age: meter.u64_gauge("store_changes_age_ms").build(),
             store_era: meter.u64_gauge("store_era").build(),
@@ -126,7 +124,7 @@
 }
 
 impl Metrics {
-    /// Counts a read served by `target`.
+    /// Counts a read sent to a server with the role `target`.
     pub fn read(&self, target: Target) {
         let name = match target {
             Target::Primary => "primary",
@@ -145,8 +143,8 @@
         self.refusals.add(1, &[KeyValue::new("code", code)]);
     }
 
-    /// Counts a query string that has been answered, for the report on service-level burn; `ok`
-    /// unless the proxy itself failed it.
+    /// Counts an answered query string, for the burn rate of the service level objective. `ok` is
+    /// `false` if the proxy could not run it or does not know its outcome.
     pub fn statement(&self, ok: bool) {
         let outcome = match ok {
             true => "ok",
@@ -155,13 +153,13 @@
         self.statements.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a primary this proxy replaced.
+    /// Counts a primary that this proxy replaced.
     pub fn promotion(&self) {
         self.promotions.add(1, &[]);
     }
 
-    /// Counts an answer to a caller of `route`, by its outcome (`ok` or the refusal's code), with the
-    /// time it took.
+    /// Counts an answer to a caller on `route` by outcome (`ok` or the refusal's code), and records
+    /// its latency.
     pub fn answer(&self, route: &str, outcome: &str, seconds: f64) {
         let route = KeyValue::new("route", route.to_owned());
         let outcome = KeyValue::new("outcome", outcome.to_owned());
@@ -169,7 +167,7 @@
         self.latency.record(seconds, &[route]);
     }
 
-    /// Counts a statement that a server did not serve, by the reason.
+    /// Counts an attempt to run a statement that a server did not complete, by reason.
     pub fn attempt(&self, reason: &str) {
         self.attempts
             .add(1, &[KeyValue::new("reason", reason.to_owned())]);
@@ -181,37 +179,37 @@
             .add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts a call to the platform's store that failed.
+    /// Counts a failed request to the platform's key-value store.
     pub fn store_error(&self) {
         self.store_errors.add(1, &[]);
     }
 
-    /// Counts an entry of the store that names no server, or no proxy.
-    pub fn entry_passed_over(&self) {
-        self.entries_passed_over.add(1, &[]);
+    /// Counts an entry of the store that cannot be parsed as a server or proxy.
+    pub fn invalid_entry(&self) {
+        self.invalid_entries.add(1, &[]);
     }
 
-    /// Counts a statement that another proxy runs for this one.
-    pub fn handed_over(&self) {
-        self.handed_over.add(1, &[]);
+    /// Counts a statement forwarded to another proxy.
+    pub fn forwarded(&self) {
+        self.forwarded.add(1, &[]);
     }
 
-    /// Notes how many log lines were left out because standard output was not read.
+    /// Records the total number of log lines dropped because standard output was not read.
     pub fn log_lines_dropped(&self, lines: u64) {
         self.log_lines_dropped.record(lines, &[]);
     }
 
-    /// How old what is known of the store may be, in milliseconds.
+    /// Records an upper bound on the staleness of the local copy of the store, in milliseconds.
     pub fn changes_age(&self, millis: u64) {
         self.changes_age.record(millis, &[]);
     }
 
-    /// How often the store has come back from a copy, as far as this process has heard.
+    /// Records how often the store has been restored from a backup, as far as this process knows.
     pub fn store_era(&self, era: u64) {
         self.store_era.record(era, &[]);
     }
 
-    /// Notes the version of the configuration in force.
+    /// Records the version of the applied configuration.
     pub fn version(&self, version: u64) {
         self.version.record(version, &[]);
     }
@@ -221,40 +219,41 @@
         self.pool_wait.record(seconds, &[]);
     }
 
-    /// The current figures as text, one a line: name, attributes in braces, value.
+    /// The current samples as text, one per line: name, attributes in braces, value.
     pub fn text(&self) -> String {
         let mut out = String::new();
-        for figure in self.figures() {
-            let attributes: Vec<String> = figure
+        for sample in self.samples() {
+            let attributes: Vec<String> = sample
                 .attributes
                 .iter()
                 .map(|(key, value)| format!("{key}={value:?}"))
                 .collect();
-            // Writing to a string cannot fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(
                 out,
                 "{}{{{}}} {}",
-                figure.name,
+                sample.name,
                 attributes.join(","),
-                figure.value
+                sample.value
             );
         }
         out
     }
 
-    /// The current figures: sums as their value, histograms as their count and sum.
-    pub fn figures(&self) -> Vec<Figure> {
+    /// The current samples: the value of a counter or gauge; the buckets, count and sum of a
+    /// histogram.
+    pub fn samples(&self) -> Vec<Sample> {
         let mut collected = ResourceMetrics::default();
         if self.reader.collect(&mut collected).is_err() {
             return Vec::new();
         }
-        let mut figures = Vec::new();
+        let mut samples = Vec::new();
         for scope in collected.scope_metrics() {
             for metric in scope.metrics() {
-                push(&mut figures, metric.name(), metric.data());
+                push_samples(&mut samples, metric.name(), metric.data());
             }
         }
-        figures
+        samples
     }
 }
 
@@ -262,38 +261,38 @@
     let mut attributes: Vec<(String, String)> = pairs
         .map(|pair| (pair.key.to_string(), pair.value.to_string()))
         .collect();
-    // The SDK hands them out in no order; readers of the text want the same one each time.
+    // The SDK returns attributes in arbitrary order; the output must be stable.
     attributes.sort_unstable();
     attributes
 }
 
-/// The counts of a histogram's buckets, each with those below it, as scrapers expect them.
+/// Appends a histogram's buckets with cumulative counts, as in the Prometheus format.
 fn push_buckets(
-    figures: &mut Vec<Figure>,
+    samples: &mut Vec<Sample>,
     name: &str,
     base: &[(String, String)],
     bounds: impl Iterator<Item = f64>,
     counts: impl Iterator<Item = u64>,
 ) {
-    let mut below = 0;
+    let mut cumulative = 0;
     let bounds = bounds.map(|bound| bound.to_string());
     for (bound, count) in bounds.chain(["+Inf".to_owned()]).zip(counts) {
-        below += count;
+        cumulative += count;
         let mut attributes = base.to_vec();
         attributes.push(("le".to_owned(), bound));
-        figures.push(Figure {
+        samples.push(Sample {
             name: format!("{name}_bucket"),
             attributes,
-            value: below as f64,
+            value: cumulative as f64,
         });
     }
 }
 
-fn push(figures: &mut Vec<Figure>, name: &str, data: &AggregatedMetrics) {
+fn push_samples(samples: &mut Vec<Sample>, name: &str, data: &AggregatedMetrics) {
     match data {
         AggregatedMetrics::U64(MetricData::Sum(sum)) => {
             for point in sum.data_points() {
-                figures.push(Figure {
+                samples.push(Sample {
                     name: name.to_owned(),
                     attributes: attributes(point.attributes()),
                     value: point.value() as f64,
@@ -302,7 +301,7 @@
         }
         AggregatedMetrics::U64(MetricData::Gauge(gauge)) => {
             for point in gauge.data_points() {
-                figures.push(Figure {
+                samples.push(Sample {
                     name: name.to_owned(),
                     attributes: attributes(point.attributes()),
                     value: point.value() as f64,
@@ -312,13 +311,13 @@
         AggregatedMetrics::F64(MetricData::Histogram(histogram)) => {
             for point in histogram.data_points() {
                 let base = attributes(point.attributes());
-                push_buckets(figures, name, &base, point.bounds(), point.bucket_counts());
-                figures.push(Figure {
+                push_buckets(samples, name, &base, point.bounds(), point.bucket_counts());
+                samples.push(Sample {
                     name: format!("{name}_count"),
                     attributes: base.clone(),
                     value: point.count() as f64,
                 });
-                figures.push(Figure {
+                samples.push(Sample {
                     name: format!("{name}_sum"),
                     attributes: base,
                     value: point.sum(),
