--- a/crates/e2e/benches/failover.rs
+++ b/crates/e2e/benches/failover.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use fixture::{
-    history::{self, Broken, Writer},
+    history::{self, Violations, Writer},
     Layout, Site,
 };
 
@@ -38,15 +38,15 @@
     let since = Instant::now();
     match failure {
         Failure::Killed => site.fault(1, "kill", 0, "").await,
-        Failure::Cut => site.cut_dc("dc-1", 0, true).await,
+        Failure::Cut => site.partition_dc("dc-1", 0, true).await,
     }
     tokio::time::sleep(AFTER).await;
     let attempts = writer.stop().await;
-    let record = site.record().await.expect("a record");
-    let rows = site.leader_rows(&record).await;
+    let record = site.primary_record().await.expect("a record");
+    let rows = site.primary_rows(&record).await;
     let broken = history::check(&attempts, &rows, None);
-    assert_eq!(broken, Broken::default(), "a promise was broken");
-    history::gap(&attempts, since)
+    assert_eq!(broken, Violations::default(), "a promise was broken");
+    history::longest_gap(&attempts, since)
 }
 
 async fn rounds(failure: Failure, bound: Duration) -> bool {
--- a/crates/e2e/benches/thin_path.rs
+++ b/crates/e2e/benches/thin_path.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use fixture::{connect, operator, Site};
+use fixture::{connect, operator_json, Site};
 
 /// Statements per measured loop; the loops are bounded in count, not in time.
 const ROUNDS: usize = 2000;
@@ -37,7 +37,7 @@
 }
 
 async fn direct(site: &Site) -> tokio_postgres::Client {
-    let first = site.group.line.split(',').next().unwrap();
+    let first = site.group.first_line.split(',').next().unwrap();
     let (host, port) = first.rsplit_once(':').unwrap();
     let mut config = tokio_postgres::Config::new();
     config
@@ -84,11 +84,11 @@
 
     let base = timed(&direct, query).await;
     let proxied = timed(&member, query).await;
-    let before = reads(&operator(&site.proxies[0], "/metrics").await);
+    let before = reads(&operator_json(&site.proxies[0], "/metrics").await);
     let mut settled = before;
     for round in 0..ROUNDS {
         if round == SETTLING {
-            settled = reads(&operator(&site.proxies[0], "/metrics").await);
+            settled = reads(&operator_json(&site.proxies[0], "/metrics").await);
         }
         if round % 10 == 0 {
             let id = format!("save-{round}");
@@ -98,7 +98,7 @@
             lookup.simple_query(query).await.unwrap();
         }
     }
-    let metrics = operator(&site.proxies[0], "/metrics").await;
+    let metrics = operator_json(&site.proxies[0], "/metrics").await;
 
     let p50 = percentile(&proxied, 0.5).as_secs_f64() / percentile(&base, 0.5).as_secs_f64();
     let p99 = percentile(&proxied, 0.99).as_secs_f64() / percentile(&base, 0.99).as_secs_f64();
--- a/crates/e2e/tests/duty.rs
+++ b/crates/e2e/tests/duty.rs
@@ -6,8 +6,8 @@
 
 use fixture::{
     connect, eventually,
-    history::{self, Broken, Writer},
-    insert, operator, scalar, Layout, Proxy, Site,
+    history::{self, Violations, Writer},
+    insert, operator_json, scalar, Layout, Proxy, Site,
 };
 
 const WAIT: Duration = Duration::from_secs(20);
@@ -34,7 +34,7 @@
 async fn all_know_each_other(site: &Site) -> bool {
     let mut all = true;
     for proxy in &site.proxies {
-        all &= operator(proxy, "/status").await["members"] == site.proxies.len();
+        all &= operator_json(proxy, "/status").await["members"] == site.proxies.len();
     }
     all
 }
@@ -43,7 +43,7 @@
 async fn watchers(site: &Site) -> Vec<usize> {
     let mut watchers = Vec::new();
     for (index, proxy) in site.proxies.iter().enumerate() {
-        let report = operator(proxy, "/status").await;
+        let report = operator_json(proxy, "/status").await;
         if report["groups"][0]["watched"] == true {
             watchers.push(index);
         }
@@ -100,14 +100,17 @@
     tokio::time::sleep(CALM).await;
 
     site.fault(1, "kill", 0, "").await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     let since = Instant::now();
     tokio::time::sleep(2 * CALM).await;
     let attempts = writer.stop().await;
-    let rows = site.leader_rows(&record).await;
+    let rows = site.primary_rows(&record).await;
 
     assert_eq!(record.term, 2);
-    assert_eq!(history::check(&attempts, &rows, None), Broken::default());
+    assert_eq!(
+        history::check(&attempts, &rows, None),
+        Violations::default()
+    );
     assert!(
         history::acked_after(&attempts, since) > 10,
         "writes resumed"
@@ -150,7 +153,7 @@
     let record = dandelionpitch_core::keys::proxy(&site.proxies[dead].dc, &format!("proxy-{dead}"));
 
     site.proxies[dead].process.kill();
-    site.expire(&record).await;
+    site.expire_lease(&record).await;
     site.proxies.remove(dead);
     let succeeded = eventually(WAIT, || async {
         let now = self::watchers(&site).await;
@@ -173,7 +176,7 @@
     }
     site.fault(1, "kill", 0, "").await;
     let since = Instant::now();
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     let took = since.elapsed();
 
     assert_eq!(record.term, 2);
@@ -193,7 +196,7 @@
     tokio::time::sleep(CALM).await;
 
     site.fault(1, "kill", 0, "").await;
-    site.replaced(1).await;
+    site.wait_for_new_primary(1).await;
     tokio::time::sleep(2 * CALM).await;
     let since = Instant::now();
     tokio::time::sleep(2 * CALM).await;
--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -9,8 +9,8 @@
 use dandelionpitch_core::primary::Record;
 use fixture::{
     connect, eventually,
-    history::{self, Attempt, Broken, Outcome, Writer},
-    insert, operator, refusal, scalar, Layout, Site,
+    history::{self, Attempt, Outcome, Violations, Writer},
+    insert, operator_json, refusal, scalar, Layout, Site,
 };
 
 const WAIT: Duration = Duration::from_secs(20);
@@ -34,7 +34,7 @@
 
 /// The address of the primary as proxy `index` sees it.
 async fn primary(site: &Site, index: usize) -> Option<String> {
-    let report = operator(&site.proxies[index], "/status").await;
+    let report = operator_json(&site.proxies[index], "/status").await;
     report["groups"][0]["primary"].as_str().map(str::to_owned)
 }
 
@@ -61,7 +61,7 @@
 /// Waits until a proxy has claimed a term at which it has not promoted anyone yet.
 async fn claimed(site: &Site) -> bool {
     eventually(WAIT, || async {
-        let record = site.record().await;
+        let record = site.primary_record().await;
         record.is_some_and(|record| record.server.is_none())
     })
     .await
@@ -78,13 +78,13 @@
 }
 
 /// Stops the writers and checks all they were told against the log of the recorded primary.
-async fn settle(site: &Site, writers: Vec<Writer>, since: Instant) -> (Vec<Attempt>, Broken) {
+async fn settle(site: &Site, writers: Vec<Writer>, since: Instant) -> (Vec<Attempt>, Violations) {
     let mut attempts = Vec::new();
     for writer in writers {
         attempts.extend(writer.stop().await);
     }
-    let record = site.record().await.expect("a record");
-    let rows = site.leader_rows(&record).await;
+    let record = site.primary_record().await.expect("a record");
+    let rows = site.primary_rows(&record).await;
     let broken = history::check(&attempts, &rows, Some((record.term, since)));
     (attempts, broken)
 }
@@ -97,13 +97,13 @@
     let (site, writers) = site_with_writers("killed", TWO_IN_ONE_DC).await;
 
     site.fault(1, "kill", 0, "").await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     let exists = Instant::now();
     tokio::time::sleep(CALM).await;
     let (attempts, broken) = settle(&site, writers, exists).await;
 
-    assert_eq!(broken, Broken::default());
-    history::assert_resumed(&attempts, exists);
+    assert_eq!(broken, Violations::default());
+    history::assert_writes_resumed(&attempts, exists);
     assert_eq!(record.term, 2, "one promotion was enough");
     assert_eq!(leaders(&site, &[1, 2]).await.len(), 1);
 }
@@ -120,14 +120,14 @@
     tokio::time::sleep(CALM).await;
 
     site.fault(1, "kill", 0, "").await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     site.fault(1, "join", 2, "").await;
     let exists = Instant::now();
     tokio::time::sleep(CALM).await;
     let (attempts, broken) = settle(&site, writers, exists).await;
 
-    assert_eq!(broken, Broken::default());
-    history::assert_resumed(&attempts, exists);
+    assert_eq!(broken, Violations::default());
+    history::assert_writes_resumed(&attempts, exists);
     assert_eq!(record.server.unwrap().to_string(), site.servers()[1]);
 }
 
@@ -147,7 +147,7 @@
     let token = scalar(&member, "SHOW dandelionpitch.position").await;
 
     site.fault(1, "kill", 0, "").await;
-    site.replaced(1).await;
+    site.wait_for_new_primary(1).await;
     let options = format!("-c dandelionpitch.position={}", token.expect("a token"));
     let roamed = connect(&site.proxies[1], "member", &options).await;
     let query = "SELECT * FROM ledger WHERE id = 'order-1'";
@@ -163,19 +163,19 @@
 async fn primary_cut_off_while_leading() {
     let (site, writers) = site_with_writers("cut", TWO_DCS).await;
 
-    site.cut_dc("dc-1", 0, true).await;
+    site.partition_dc("dc-1", 0, true).await;
     let cut = Instant::now();
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     let exists = Instant::now();
     tokio::time::sleep(LONGER_THAN_TIMEOUT).await;
     let both = leaders(&site, &[0, 1, 2]).await;
     let healed = Instant::now();
-    site.cut_dc("dc-1", 0, false).await;
+    site.partition_dc("dc-1", 0, false).await;
     writes_resume(&site, 0, "after-heal").await;
     tokio::time::sleep(CALM).await;
     let (attempts, broken) = settle(&site, writers, exists).await;
 
-    assert_eq!(broken, Broken::default());
+    assert_eq!(broken, Violations::default());
     assert_eq!(record.term, 2);
     assert!(
         both.contains(&(0, 1)),
@@ -193,8 +193,8 @@
 #[tokio::test]
 async fn roaming_to_the_cut_side_reads_nothing_stale() {
     let site = Site::build(&Layout::new("roam-cut", TWO_DCS)).await;
-    site.cut_dc("dc-1", 0, true).await;
-    site.replaced(1).await;
+    site.partition_dc("dc-1", 0, true).await;
+    site.wait_for_new_primary(1).await;
     let member = connect(&site.proxies[1], "member", "").await;
     member
         .simple_query(&insert("order-1"))
@@ -225,11 +225,11 @@
 
     site.fault(1, "kill", 0, "").await;
     let claimed = claimed(&site).await;
-    let claim = site.record().await.expect("a claim");
+    let claim = site.primary_record().await.expect("a claim");
     let paused = &site.proxies[claimant(&claim)];
-    paused.process.pause(true);
-    let record = site.replaced(2).await;
-    paused.process.pause(false);
+    paused.process.set_paused(true);
+    let record = site.wait_for_new_primary(2).await;
+    paused.process.set_paused(false);
     tokio::time::sleep(Duration::from_secs(1)).await;
     writes_resume(&site, 0, "through-0").await;
     writes_resume(&site, 1, "through-1").await;
@@ -237,7 +237,7 @@
     assert!(claimed);
     assert_eq!((claim.term, claim.server), (2, None));
     assert_eq!(record.term, 3);
-    assert_eq!(site.record().await, Some(record));
+    assert_eq!(site.primary_record().await, Some(record));
     let leaders = leaders(&site, &[1, 2]).await;
     assert!(matches!(leaders[..], [(_, 3)]), "{leaders:?}");
 }
@@ -255,7 +255,7 @@
     let (site, writers) = site_with_writers("frozen", TWO_IN_ONE_DC).await;
 
     site.fault(1, "freeze", 0, "").await;
-    site.replaced(1).await;
+    site.wait_for_new_primary(1).await;
     let exists = Instant::now();
     tokio::time::sleep(CALM).await;
     site.fault(1, "thaw", 0, "").await;
@@ -263,8 +263,8 @@
     let (attempts, broken) = settle(&site, writers, exists).await;
 
     assert!(stepped_down);
-    assert_eq!(broken, Broken::default());
-    history::assert_resumed(&attempts, exists);
+    assert_eq!(broken, Violations::default());
+    history::assert_writes_resumed(&attempts, exists);
 }
 
 /// The primary answers the proxies but reaches no replica, so it can commit nothing. The
@@ -274,7 +274,7 @@
     let site = Site::build(&Layout::new("alone", TWO_IN_ONE_DC)).await;
 
     site.fault(0, "isolate", 0, "").await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     writes_resume(&site, 0, "order-1").await;
 
     assert_ne!(record.server.unwrap().to_string(), site.servers()[0]);
@@ -295,7 +295,7 @@
         .simple_query("SELECT dandelionpitch_fence(5)")
         .await
         .expect("the replica holds term 5");
-    let record = site.replaced(5).await;
+    let record = site.wait_for_new_primary(5).await;
     writes_resume(&site, 0, "order-1").await;
     let followed = eventually(WAIT, || async {
         scalar(&server, "SELECT * FROM ledger WHERE id = 'order-1'")
@@ -322,9 +322,9 @@
     let first = refusal(&member, &insert("tx-2")).await;
     let second = refusal(&member, &insert("tx-3")).await;
     let commit = member.simple_query("COMMIT").await;
-    site.replaced(1).await;
+    site.wait_for_new_primary(1).await;
     member.simple_query(&insert("alone")).await.expect("runs");
-    let rows = history::read(&site.server(1).await).await;
+    let rows = history::read_log(&site.server(1).await).await;
 
     assert_eq!(first.as_deref(), Some("57P03"));
     assert_eq!(second.as_deref(), Some("25P02"));
--- a/crates/e2e/tests/failover/kv.rs
+++ b/crates/e2e/tests/failover/kv.rs
@@ -13,13 +13,13 @@
     site.kv_fault("dc-1", lose).await;
 
     site.fault(1, "kill", 0, "").await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     let exists = Instant::now();
     tokio::time::sleep(CALM).await;
     let (attempts, broken) = settle(&site, writers, exists).await;
 
-    assert_eq!(broken, Broken::default());
-    history::assert_resumed(&attempts, exists);
+    assert_eq!(broken, Violations::default());
+    history::assert_writes_resumed(&attempts, exists);
     assert_eq!(record.term, 2);
 }
 
@@ -34,17 +34,17 @@
         .await;
 
     site.fault(1, "kill", 0, "").await;
-    fixture::without_primary(&site.proxies[0]).await;
+    fixture::wait_for_no_primary(&site.proxies[0]).await;
     let told = refusal(&member, &insert("order-1")).await;
     let while_down = leaders(&site, &[1, 2]).await;
     site.kv_fault("dc-1", serde_json::json!({})).await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     writes_resume(&site, 0, "order-2").await;
 
     assert_eq!(told.as_deref(), Some("57P03"));
     assert_eq!(while_down, []);
     assert_eq!(record.term, 2);
-    let rows = history::read(&site.server(1).await).await;
+    let rows = history::read_log(&site.server(1).await).await;
     assert!(!rows.contains_key("order-1"), "it was not run");
 }
 
@@ -63,9 +63,9 @@
     site.kv_fault("dc-1", serde_json::json!({ "down": true }))
         .await;
     writes_resume(&site, 0, "while-down").await;
-    let while_down = site.record().await.expect("the claim");
+    let while_down = site.primary_record().await.expect("the claim");
     site.kv_fault("dc-1", serde_json::json!({})).await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
 
     assert_eq!((while_down.term, while_down.server), (2, None));
     assert_eq!(record.term, 2);
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -6,8 +6,8 @@
 
 use fixture::{
     connect, dpctl, eventually,
-    history::{self, Broken, Outcome, Writer},
-    insert, operator, scalar, Layout, Site,
+    history::{self, Outcome, Violations, Writer},
+    insert, operator_json, scalar, Layout, Site,
 };
 
 const WAIT: Duration = Duration::from_secs(20);
@@ -31,7 +31,7 @@
     other.simple_query(&insert("alone")).await.expect("runs");
     let query = "SELECT * FROM ledger WHERE id = 'tx-1'";
     let seen = scalar(&other, query).await;
-    let rows = history::read(&site.server(0).await).await;
+    let rows = history::read_log(&site.server(0).await).await;
 
     assert!(commit.is_err());
     assert_eq!(seen, None);
@@ -54,7 +54,7 @@
     let refused = fixture::refusal(&second, &insert("early")).await;
     first.simple_query("ROLLBACK").await.expect("rolls back");
     second.simple_query(&insert("late")).await.expect("runs");
-    let rows = history::read(&site.server(0).await).await;
+    let rows = history::read_log(&site.server(0).await).await;
 
     assert_eq!(
         refused.as_deref(),
@@ -84,12 +84,15 @@
     let writer = Writer::start(&site.proxies[0], "after");
     tokio::time::sleep(CALM).await;
     let attempts = writer.stop().await;
-    let rows = history::read(&site.server(0).await).await;
+    let rows = history::read_log(&site.server(0).await).await;
 
-    assert_eq!(history::check(&attempts, &rows, None), Broken::default());
+    assert_eq!(
+        history::check(&attempts, &rows, None),
+        Violations::default()
+    );
     assert!(attempts.iter().all(|a| a.outcome == Outcome::Acked));
-    assert!(history::gap(&attempts, since) < Duration::from_secs(1));
-    let term = site.record().await.map(|record| record.term);
+    assert!(history::longest_gap(&attempts, since) < Duration::from_secs(1));
+    let term = site.primary_record().await.map(|record| record.term);
     assert_eq!(term, Some(1), "nobody was promoted for it");
 }
 
@@ -103,7 +106,7 @@
     let site_ref = &site;
     let accepted: Vec<u64> = std::thread::scope(|scope| {
         let puts: Vec<_> = (2..10)
-            .map(|version| scope.spawn(move || (version, site_ref.put(version).0)))
+            .map(|version| scope.spawn(move || (version, site_ref.put_bundle(version).0)))
             .collect();
         let told = puts.into_iter().map(|put| put.join().unwrap());
         told.filter(|(_, ok)| *ok)
@@ -136,7 +139,7 @@
 async fn versions(site: &Site) -> Vec<u64> {
     let mut versions = Vec::new();
     for proxy in &site.proxies {
-        let report = operator(proxy, "/status").await;
+        let report = operator_json(proxy, "/status").await;
         versions.push(report["bundle_version"].as_u64().unwrap());
     }
     versions
@@ -166,8 +169,10 @@
     buyer.simple_query(&insert("tx-2")).await.expect("runs");
     buyer.simple_query("COMMIT").await.expect("commits");
     let rows = answer.await.unwrap().expect("the whole answer");
-    let ended = site.proxies[0].process.ended(Duration::from_secs(3));
-    let kept = history::read(&site.server(0).await).await;
+    let ended = site.proxies[0]
+        .process
+        .wait_for_exit(Duration::from_secs(3));
+    let kept = history::read_log(&site.server(0).await).await;
 
     assert!(closed, "the resting session was closed");
     assert!(!ready.is_ok_and(|answer| answer.status().is_success()));
@@ -226,7 +231,7 @@
     })
     .await;
 
-    site.leave(2).await;
+    site.mark_leaving(2).await;
     tokio::time::sleep(LEAVING_LIMIT).await;
     let mut servers = Vec::new();
     for _ in 0..200 {
@@ -247,21 +252,21 @@
         .collect();
     tokio::time::sleep(CALM).await;
 
-    site.leave(0).await;
+    site.mark_leaving(0).await;
     tokio::time::sleep(LEAVING_LIMIT).await;
-    let record = site.record().await.expect("a record");
+    let record = site.primary_record().await.expect("a record");
     let since = Instant::now();
     tokio::time::sleep(CALM).await;
     let mut attempts = Vec::new();
     for writer in writers {
         attempts.extend(writer.stop().await);
     }
-    let rows = site.leader_rows(&record).await;
+    let rows = site.primary_rows(&record).await;
 
-    assert_ne!(site.leader(&record), 0);
+    assert_ne!(site.primary_index(&record), 0);
     assert_eq!(record.term, 2);
     let broken = history::check(&attempts, &rows, Some((2, since)));
-    assert_eq!(broken, Broken::default());
+    assert_eq!(broken, Violations::default());
     let refused = |a: &&history::Attempt| a.outcome != Outcome::Acked;
     let refused: Vec<_> = attempts.iter().filter(refused).collect();
     assert!(refused.len() <= 2, "only what was under way: {refused:?}");
@@ -282,7 +287,7 @@
     site.kv_fault("dc-1", serde_json::json!({ "down": true }))
         .await;
     site.fault(1, "kill", 0, "").await;
-    fixture::without_primary(&site.proxies[0]).await;
+    fixture::wait_for_no_primary(&site.proxies[0]).await;
     let no_primary = fixture::refusal(&member, &insert("order-18")).await;
 
     let args = [
--- a/crates/e2e/tests/handover.rs
+++ b/crates/e2e/tests/handover.rs
@@ -127,13 +127,13 @@
     let begun = Instant::now();
     match loss {
         Loss::Killed => site.proxies[owner].process.kill(),
-        Loss::Frozen => site.proxies[owner].process.pause(true),
+        Loss::Frozen => site.proxies[owner].process.set_paused(true),
         Loss::Stopped => site.proxies[owner].process.terminate(),
     }
     let waited = caller.ask_until_done("PUT numbers after", OWNER_LOST * 2);
     let (kept, unknown) = write_numbers(&mut caller, begun + Duration::from_secs(6));
     if matches!(loss, Loss::Frozen) {
-        site.proxies[owner].process.pause(false);
+        site.proxies[owner].process.set_paused(false);
     }
 
     assert!(waited <= OWNER_LOST, "{waited:?}");
--- a/crates/e2e/tests/line_faults.rs
+++ b/crates/e2e/tests/line_faults.rs
@@ -112,10 +112,10 @@
     let mut caller = site.caller((holder + 1) % 3, LATEST);
     assert!(caller.ask("PUT a one").done());
 
-    site.proxies[holder].process.pause(true);
+    site.proxies[holder].process.set_paused(true);
     site.fault(0, "dead", true).await;
     let gap = caller.ask_until_done("PUT a two", FAILOVER_LIMIT * 2);
-    site.proxies[holder].process.pause(false);
+    site.proxies[holder].process.set_paused(false);
 
     println!("write gap {gap:?}");
     assert!(gap < BOTH_LOST_LIMIT, "{gap:?}");
@@ -285,7 +285,9 @@
 
     assert!(commit.done(), "{commit:?}");
     assert_eq!(resting.line(), "", "closed without a word");
-    assert!(site.proxies[0].process.ended(Duration::from_secs(6)));
+    assert!(site.proxies[0]
+        .process
+        .wait_for_exit(Duration::from_secs(6)));
     assert_eq!(site.count("a", "one").await, 1);
 }
 
--- a/crates/e2e/tests/line_feed.rs
+++ b/crates/e2e/tests/line_feed.rs
@@ -65,14 +65,14 @@
 async fn configuration_arrives_past_frozen_feeders() {
     let (site, feeders) = fed("feed-frozen").await;
     for index in &feeders {
-        site.proxies[*index].process.pause(true);
+        site.proxies[*index].process.set_paused(true);
     }
 
     site.configure(2, &[LATEST, SESSION]).await;
     in_force_but_at(&site, 2, &feeders).await;
 
     for index in &feeders {
-        site.proxies[*index].process.pause(false);
+        site.proxies[*index].process.set_paused(false);
     }
     site.in_force(2).await;
 }
--- a/crates/e2e/tests/lists.rs
+++ b/crates/e2e/tests/lists.rs
@@ -8,7 +8,7 @@
     keys,
     kv::{self, Swap},
 };
-use fixture::{connect, eventually, insert, operator, scalar, Layout, Site};
+use fixture::{connect, eventually, insert, operator_json, scalar, Layout, Site};
 
 const WAIT: Duration = Duration::from_secs(20);
 /// After this a server that was taken out and has stopped counts no longer.
@@ -28,10 +28,10 @@
         false => line.to_owned(),
     };
     let edit = |bundle: String| bundle.lines().map(line).collect::<Vec<_>>().join("\n");
-    let (put, text) = site.put_edited(version, edit);
+    let (put, text) = site.put_bundle_with(version, edit);
     assert!(put, "{text}");
     for proxy in &site.proxies {
-        let runs = || async { operator(proxy, "/status").await["bundle_version"] == version };
+        let runs = || async { operator_json(proxy, "/status").await["bundle_version"] == version };
         assert!(eventually(WAIT, runs).await, "version {version} in force");
     }
 }
@@ -48,9 +48,9 @@
 
 /// Whether the primary that the record names, if it names one of a later term, has the row.
 async fn kept(site: &Site, id: &str) -> bool {
-    let record = site.record().await.expect("a record");
+    let record = site.primary_record().await.expect("a record");
     match record.server.is_some() && record.term > 1 {
-        true => site.leader_rows(&record).await.contains_key(id),
+        true => site.primary_rows(&record).await.contains_key(id),
         false => true,
     }
 }
@@ -67,18 +67,18 @@
     order.expect("the write is acknowledged");
 
     let out = format!(", \"{}\"", site.servers()[2]);
-    let (put, text) = site.put_edited(2, |bundle| bundle.replace(&out, ""));
+    let (put, text) = site.put_bundle_with(2, |bundle| bundle.replace(&out, ""));
     let in_force = eventually(WAIT, || async {
-        operator(&site.proxies[0], "/status").await["bundle_version"] == 2
+        operator_json(&site.proxies[0], "/status").await["bundle_version"] == 2
     })
     .await;
     site.fault(2, "kill", 0, "").await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let record = site.record().await.expect("a record");
+    let record = site.primary_record().await.expect("a record");
 
     assert!(put && in_force, "{text}");
     if record.term > 1 && record.server.is_some() {
-        let rows = site.leader_rows(&record).await;
+        let rows = site.primary_rows(&record).await;
         assert!(rows.contains_key("order-1"), "lost: {record:?}");
     }
 }
@@ -89,7 +89,7 @@
 async fn server_taken_out_and_stopped_is_forgotten() {
     let site = Site::build(&Layout::new("forgotten", TWO_IN_ONE_DC)).await;
     let shown = || async {
-        let servers = &operator(&site.proxies[0], "/status").await["groups"][0]["servers"];
+        let servers = &operator_json(&site.proxies[0], "/status").await["groups"][0]["servers"];
         let unlisted = |server: &serde_json::Value| server["listed"] == false;
         servers
             .as_array()
@@ -101,10 +101,10 @@
     site.fault(0, "kill", 2, "").await;
     let forgotten = eventually(WAIT, || async { !shown().await }).await;
     site.fault(1, "kill", 0, "").await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
 
     assert!(counts && forgotten);
-    assert_eq!(site.leader(&record), 1);
+    assert_eq!(site.primary_index(&record), 1);
 }
 
 /// The server taken out of the list is not stopped and goes on confirming commits, alone, long after it
@@ -132,10 +132,10 @@
 
     take_out(&site, 2, &[0]).await;
     write(&site, "order-2").await;
-    let record = site.replaced(1).await;
-    let rows = site.leader_rows(&record).await;
+    let record = site.wait_for_new_primary(1).await;
+    let rows = site.primary_rows(&record).await;
 
-    assert_ne!(site.leader(&record), 0);
+    assert_ne!(site.primary_index(&record), 0);
     assert!(rows.contains_key("order-1") && rows.contains_key("order-2"));
 }
 
@@ -151,7 +151,11 @@
     write(&site, "order-1").await;
 
     site.fault(2, "kill", 0, "").await;
-    let claimed = || async { site.record().await.is_some_and(|r| r.server.is_none()) };
+    let claimed = || async {
+        site.primary_record()
+            .await
+            .is_some_and(|r| r.server.is_none())
+    };
     assert!(eventually(WAIT, claimed).await);
     take_out(&site, 2, &[2]).await;
     tokio::time::sleep(FAILOVER).await;
@@ -191,7 +195,7 @@
     site.proxies
         .iter_mut()
         .for_each(|proxy| proxy.process.kill());
-    site.put_edited(2, |bundle| {
+    site.put_bundle_with(2, |bundle| {
         bundle.replace(&format!(", \"{}\"", site.servers()[2]), "")
     });
     site.restart_proxies();
@@ -233,14 +237,18 @@
     write(&site, "order-1").await;
 
     site.fault(2, "kill", 0, "").await;
-    let claimed = || async { site.record().await.is_some_and(|r| r.server.is_none()) };
+    let claimed = || async {
+        site.primary_record()
+            .await
+            .is_some_and(|r| r.server.is_none())
+    };
     assert!(eventually(WAIT, claimed).await);
-    site.proxies[0].process.pause(true);
-    let (put, text) = site.put_edited(2, |bundle| {
+    site.proxies[0].process.set_paused(true);
+    let (put, text) = site.put_bundle_with(2, |bundle| {
         bundle.replace(&format!(", \"{}\"", site.servers()[2]), "")
     });
     tokio::time::sleep(FAILOVER).await;
-    site.proxies[0].process.pause(false);
+    site.proxies[0].process.set_paused(false);
     tokio::time::sleep(FAILOVER).await;
 
     assert!(put, "{text}");
--- a/crates/e2e/tests/restores.rs
+++ b/crates/e2e/tests/restores.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use fixture::{connect, eventually, insert, operator, Layout, Site};
+use fixture::{connect, eventually, insert, operator_json, Layout, Site};
 
 const WAIT: Duration = Duration::from_secs(20);
 /// How old the copy is: from before what the tests have the KV forget.
@@ -25,7 +25,7 @@
 async fn in_force(site: &Site, version: u64) -> bool {
     eventually(WAIT, || async {
         for proxy in &site.proxies {
-            if operator(proxy, "/status").await["bundle_version"] != version {
+            if operator_json(proxy, "/status").await["bundle_version"] != version {
                 return false;
             }
         }
@@ -49,15 +49,15 @@
 async fn bundle_put_after_a_restore_is_in_force() {
     let site = site("kv-restore-bundle").await;
     for version in 2..=LOST_VERSIONS {
-        let (put, text) = site.put(version);
+        let (put, text) = site.put_bundle(version);
         assert!(put, "{text}");
     }
     assert!(in_force(&site, LOST_VERSIONS).await);
 
-    site.restore(AGE).await;
+    site.restore_kv(AGE).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let kept = in_force(&site, LOST_VERSIONS).await;
-    let (put, text) = site.put(LOST_VERSIONS + 1);
+    let (put, text) = site.put_bundle(LOST_VERSIONS + 1);
 
     assert!(kept, "no proxy goes back");
     assert!(put && in_force(&site, LOST_VERSIONS + 1).await, "{text}");
@@ -70,21 +70,21 @@
     let site = site("kv-restore-promotion").await;
     write(&site, 0, "order-1").await;
     site.fault(1, "kill", 0, "").await;
-    let before = site.replaced(1).await;
+    let before = site.wait_for_new_primary(1).await;
     write(&site, 0, "order-2").await;
 
-    site.restore(AGE * 4).await;
+    site.restore_kv(AGE * 4).await;
     let again = eventually(WAIT, || async {
-        site.record().await == Some(before.clone())
+        site.primary_record().await == Some(before.clone())
     })
     .await;
-    let term = site.record().await.expect("a record").term;
+    let term = site.primary_record().await.expect("a record").term;
     site.fault(1, "start", 0, "").await;
     write(&site, 1, "order-3").await;
-    site.fault(0, "kill", site.leader(&before), "").await;
-    let after = site.replaced(before.term).await;
+    site.fault(0, "kill", site.primary_index(&before), "").await;
+    let after = site.wait_for_new_primary(before.term).await;
     write(&site, 2, "order-4").await;
-    let rows = site.leader_rows(&after).await;
+    let rows = site.primary_rows(&after).await;
 
     assert!(again || term >= before.term, "the record is written again");
     for order in ["order-1", "order-2", "order-3", "order-4"] {
@@ -99,12 +99,12 @@
     let site = Site::build(&Layout::new("kv-restore-none", THREE)).await;
     write(&site, 0, "order-1").await;
 
-    site.restore(Duration::from_secs(60)).await;
-    let (put, text) = site.put(2);
+    site.restore_kv(Duration::from_secs(60)).await;
+    let (put, text) = site.put_bundle(2);
     site.fault(1, "kill", 0, "").await;
-    let record = site.replaced(1).await;
+    let record = site.wait_for_new_primary(1).await;
     write(&site, 1, "order-2").await;
-    let rows = site.leader_rows(&record).await;
+    let rows = site.primary_rows(&record).await;
 
     assert!(put, "{text}");
     assert!(rows.contains_key("order-1") && rows.contains_key("order-2"));
--- a/crates/e2e/tests/soak/stage.rs
+++ b/crates/e2e/tests/soak/stage.rs
@@ -74,10 +74,12 @@
             (Fault::ProxyStopped(proxy), true) => site.proxies[proxy].process.terminate(),
             (Fault::ProxyKilled(proxy), false) => self.restart(proxy),
             (Fault::ProxyStopped(proxy), false) => {
-                site.proxies[proxy].process.ended(Duration::from_secs(8));
+                site.proxies[proxy]
+                    .process
+                    .wait_for_exit(Duration::from_secs(8));
                 self.restart(proxy);
             }
-            (Fault::ProxyFrozen(proxy), _) => site.proxies[proxy].process.pause(begins),
+            (Fault::ProxyFrozen(proxy), _) => site.proxies[proxy].process.set_paused(begins),
             (Fault::ServerDead(server), _) => site.fault(server, "dead", begins).await,
             (Fault::ServerSilent(server), _) => site.fault(server, "silent", begins).await,
             (Fault::ServerCut(server), _) => site.fault(server, "cut", begins).await,
--- a/crates/e2e/tests/standin.rs
+++ b/crates/e2e/tests/standin.rs
@@ -15,7 +15,7 @@
 /// A group of three servers and their addresses.
 fn group() -> (Process, Vec<String>) {
     let group = start("dp-standin", &["group", "--lag-ms", "20"]);
-    let servers = group.line.split(',').map(str::to_owned).collect();
+    let servers = group.first_line.split(',').map(str::to_owned).collect();
     (group, servers)
 }
 
--- a/crates/e2e/tests/terms.rs
+++ b/crates/e2e/tests/terms.rs
@@ -53,12 +53,12 @@
 /// Waits until the record names a server again.
 async fn recorded(site: &Site) -> Record {
     let named = eventually(WAIT, || async {
-        let record = site.record().await;
+        let record = site.primary_record().await;
         record.is_some_and(|record| record.server.is_some())
     })
     .await;
     assert!(named, "the record names a primary");
-    site.record().await.expect("a record")
+    site.primary_record().await.expect("a record")
 }
 
 /// A proxy claims term 2 and is paused before a server has heard of it; the primary goes on at
@@ -72,10 +72,10 @@
 
     let claimed = claim(&site).await;
     let passed_over = recorded(&site).await;
-    let died = site.leader(&passed_over);
+    let died = site.primary_index(&passed_over);
     let via = (died + 1) % site.servers().len();
     site.fault(via, "kill", died, "").await;
-    let replaced = site.replaced(passed_over.term).await;
+    let replaced = site.wait_for_new_primary(passed_over.term).await;
     site.fault(via, "start", died, "").await;
     let second = go_on(&site, claimed).await;
     let written = eventually(WAIT, || async {
--- a/crates/e2e/tests/thin_path.rs
+++ b/crates/e2e/tests/thin_path.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use fixture::{connect, eventually, operator, scalar, Site};
+use fixture::{connect, eventually, operator_json, scalar, Site};
 
 const WAIT: Duration = Duration::from_secs(10);
 
@@ -59,7 +59,7 @@
             .is_some_and(|s| s != "0")
     })
     .await;
-    let metrics = operator(&site.proxies[0], "/metrics").await;
+    let metrics = operator_json(&site.proxies[0], "/metrics").await;
 
     assert!(served_by_replica);
     let replica_reads = metrics
@@ -75,16 +75,16 @@
 async fn bundle_in_force_everywhere_and_never_reverts() {
     let site = Site::start("bundle", 2, 20).await;
 
-    let (put, text) = site.put(2);
+    let (put, text) = site.put_bundle(2);
     let everywhere = eventually(WAIT, || async {
         let mut all = true;
         for proxy in &site.proxies {
-            all &= operator(proxy, "/status").await["bundle_version"] == 2;
+            all &= operator_json(proxy, "/status").await["bundle_version"] == 2;
         }
         all
     })
     .await;
-    let (older, refusal) = site.put(1);
+    let (older, refusal) = site.put_bundle(1);
 
     assert!(put, "{text}");
     assert!(everywhere);
@@ -103,9 +103,9 @@
     let on_replica = eventually(WAIT, || async { server().await.is_some_and(|s| s != "0") }).await;
 
     let strict = |text: String| text.replace("\"5s\"", "\"0s\"");
-    assert!(site.put_edited(2, strict).0);
+    assert!(site.put_bundle_with(2, strict).0);
     let in_force = eventually(WAIT, || async {
-        operator(&site.proxies[0], "/status").await["bundle_version"] == 2
+        operator_json(&site.proxies[0], "/status").await["bundle_version"] == 2
     })
     .await;
     let mut after = Vec::new();
@@ -113,7 +113,7 @@
         after.push(server().await.expect("an answer"));
     }
     let unknown = |text: String| text.replace("\"lookup\"", "\"someone\"");
-    assert!(site.put_edited(3, unknown).0);
+    assert!(site.put_bundle_with(3, unknown).0);
     let refused = eventually(WAIT, || async {
         let code = fixture::refusal(&lookup, "SELECT 1").await;
         code.as_deref() == Some("28000")
