--- a/crates/e2e/tests/explain.rs
+++ b/crates/e2e/tests/explain.rs
@@ -38,18 +38,21 @@
 async fn refused_under_load() {
     let site = Site::start("explain-load", 1).await;
     site.configure(2, &[LATEST, URGENT]).await;
-    site.in_force(2).await;
+    site.wait_for_version(2).await;
     let mut holders: Vec<_> = (0..CONNECTIONS).map(|_| site.caller(0, LATEST)).collect();
     for holder in &mut holders {
-        assert!(holder.ask("BEGIN").done());
-        assert!(holder.ask("PUT a v").done());
+        assert!(holder.query("BEGIN").is_done());
+        assert!(holder.query("PUT a v").is_done());
     }
 
     let mut callers: Vec<_> = (0..120).map(|_| site.caller(0, URGENT)).collect();
     for (index, caller) in callers.iter_mut().enumerate() {
         caller.send(&format!("QUERY load{index} PUT b v"));
     }
-    let answers: Vec<Answer> = callers.iter_mut().map(|caller| caller.answer()).collect();
+    let answers: Vec<Answer> = callers
+        .iter_mut()
+        .map(|caller| caller.read_answer())
+        .collect();
     let log = collect(&site, "load");
     let lines = std::fs::read_to_string(&log).expect("the log is there");
     let explained = |index: &usize| {
@@ -71,12 +74,12 @@
 async fn outcome_unknown_in_a_failover() {
     let site = Site::start("explain-unknown", 1).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("PUT a v").done());
+    assert!(caller.query("PUT a v").is_done());
 
     site.fault(0, "cut", true).await;
     caller.send("QUERY doubtful PUT b v");
-    let answer = caller.answer();
-    caller.ask_until_done("PUT c v", Duration::from_secs(10));
+    let answer = caller.read_answer();
+    caller.query_until_done("PUT c v", Duration::from_secs(10));
     let log = collect(&site, "unknown");
     let text = trace("doubtful", &log);
 
@@ -101,14 +104,14 @@
 async fn unproved_read_is_refused() {
     let site = Site::start("explain-read", 1).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("FETCH a").done());
+    assert!(caller.query("FETCH a").is_done());
     std::thread::sleep(Duration::from_millis(800));
 
     for replica in [1, 2] {
         site.fault(replica, "silent", true).await;
     }
     caller.send("QUERY unproved FETCH a");
-    let answer = caller.answer();
+    let answer = caller.read_answer();
     let log = collect(&site, "read");
     let text = trace("unproved", &log);
 
--- a/crates/e2e/tests/handover.rs
+++ b/crates/e2e/tests/handover.rs
@@ -17,7 +17,7 @@
 /// A site of seven proxies of which one holds the connections; returns it and one that does not.
 async fn site(name: &str) -> (Site, usize, usize) {
     let site = Site::start_limited(name, 7, FEW, &[]).await;
-    let owner = site.owners(1).await[0];
+    let owner = site.wait_for_owners(1).await[0];
     let other = (owner + 1) % 7;
     (site, owner, other)
 }
@@ -32,13 +32,13 @@
     for round in 0..20 {
         for (index, caller) in callers.iter_mut().enumerate() {
             let data = format!("{index}-{round}");
-            assert!(caller.ask(&format!("PUT item{index} {data}")).done());
-            assert_eq!(rows(&caller.ask(&format!("FETCH item{index}"))), [data]);
+            assert!(caller.query(&format!("PUT item{index} {data}")).is_done());
+            assert_eq!(rows(&caller.query(&format!("FETCH item{index}"))), [data]);
         }
     }
 
     let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.lines("connect"));
+    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
 /// Two sessions' statements go over the same connections between proxies. Neither may see the other's
@@ -48,21 +48,21 @@
     let (site, _, other) = site("apart").await;
     let mut callers = [site.caller(other, LATEST), site.caller(other, LATEST)];
     for (index, caller) in callers.iter_mut().enumerate() {
-        assert!(caller.ask(&format!("SET owner {index}")).done());
-        assert!(caller.ask("PREPARE get FETCH q1").done());
+        assert!(caller.query(&format!("SET owner {index}")).is_done());
+        assert!(caller.query("PREPARE get FETCH q1").is_done());
     }
     let mut plain = site.caller(other, LATEST);
 
-    assert!(callers[0].ask("BEGIN").done());
-    assert!(callers[0].ask("PUT a open").done());
+    assert!(callers[0].query("BEGIN").is_done());
+    assert!(callers[0].query("PUT a open").is_done());
     for _ in 0..5 {
-        assert_eq!(rows(&callers[0].ask("EXEC get a")), ["open", "owner=0"]);
-        assert_eq!(rows(&callers[1].ask("EXEC get a")), ["-", "owner=1"]);
-        assert_eq!(rows(&plain.ask("FETCH a")), ["-"]);
+        assert_eq!(rows(&callers[0].query("EXEC get a")), ["open", "owner=0"]);
+        assert_eq!(rows(&callers[1].query("EXEC get a")), ["-", "owner=1"]);
+        assert_eq!(rows(&plain.query("FETCH a")), ["-"]);
     }
-    assert_eq!(callers[0].ask("COMMIT").state, "I");
-    assert_eq!(rows(&plain.ask("FETCH a")), ["open"]);
-    assert_eq!(plain.ask("EXEC get a").code(), "NOSTMT");
+    assert_eq!(callers[0].query("COMMIT").state, "I");
+    assert_eq!(rows(&plain.query("FETCH a")), ["open"]);
+    assert_eq!(plain.query("EXEC get a").code(), "NOSTMT");
 }
 
 /// A caller leaves in the middle of a transaction that another proxy runs for it: its writes are gone.
@@ -71,15 +71,19 @@
     let (site, _, other) = site("leaves-handed").await;
     for _ in 0..20 {
         let mut caller = site.caller(other, LATEST);
-        assert!(caller.ask("BEGIN").done());
-        let put = caller.ask("PUT a dropped");
-        assert!(put.done(), "{put:?} {:#?}", site.lines("connect"));
+        assert!(caller.query("BEGIN").is_done());
+        let put = caller.query("PUT a dropped");
+        assert!(
+            put.is_done(),
+            "{put:?} {:#?}",
+            site.log_lines_with("connect")
+        );
     }
     let mut next = site.caller(other, LATEST);
 
-    next.ask_until_done("PUT b kept", Duration::from_secs(5));
+    next.query_until_done("PUT b kept", Duration::from_secs(5));
 
-    assert_eq!(site.count("a", "dropped").await, 0);
+    assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
 /// Writes numbers until `until`; returns those that were acknowledged and those whose outcome is
@@ -91,9 +95,9 @@
             break;
         }
         let data = format!("n{number}");
-        let answer = caller.ask(&format!("PUT numbers {data}"));
+        let answer = caller.query(&format!("PUT numbers {data}"));
         match answer.code() {
-            _ if answer.done() => kept.push(data),
+            _ if answer.is_done() => kept.push(data),
             "UNKNOWN" => unknown.push(data),
             "BUSY" => std::thread::sleep(Duration::from_millis(20)),
             other => panic!("{other}: {answer:?}"),
@@ -122,7 +126,7 @@
 async fn lost_owner_is_replaced_and_nothing_is_lost_or_doubled(loss: Loss) {
     let (mut site, owner, other) = site(&format!("lost-{loss:?}")).await;
     let mut caller = site.caller(other, LATEST);
-    assert!(caller.ask("PUT numbers before").done());
+    assert!(caller.query("PUT numbers before").is_done());
 
     let begun = Instant::now();
     match loss {
@@ -130,7 +134,7 @@
         Loss::Frozen => site.proxies[owner].process.set_paused(true),
         Loss::Stopped => site.proxies[owner].process.terminate(),
     }
-    let waited = caller.ask_until_done("PUT numbers after", OWNER_LOST * 2);
+    let waited = caller.query_until_done("PUT numbers after", OWNER_LOST * 2);
     let (kept, unknown) = write_numbers(&mut caller, begun + Duration::from_secs(6));
     if matches!(loss, Loss::Frozen) {
         site.proxies[owner].process.set_paused(false);
@@ -139,13 +143,13 @@
     assert!(waited <= OWNER_LOST, "{waited:?}");
     assert!(kept.len() > 20, "{} kept", kept.len());
     for data in &kept {
-        assert_eq!(site.count("numbers", data).await, 1, "{data}");
+        assert_eq!(site.count_in_log("numbers", data).await, 1, "{data}");
     }
     for data in &unknown {
-        assert!(site.count("numbers", data).await <= 1, "{data}");
+        assert!(site.count_in_log("numbers", data).await <= 1, "{data}");
     }
     let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.lines("connect"));
+    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
 /// A planned stop of the proxy that holds the connections: it goes on serving the others until they know,
@@ -154,7 +158,7 @@
 async fn planned_stop_of_the_owner_cuts_nothing() {
     let (site, owner, other) = site("planned").await;
     let mut caller = site.caller(other, LATEST);
-    assert!(caller.ask("PUT a before").done());
+    assert!(caller.query("PUT a before").is_done());
 
     site.proxies[owner].process.terminate();
     let until = Instant::now() + Duration::from_secs(4);
@@ -163,8 +167,8 @@
         if Instant::now() > until {
             break;
         }
-        let answer = caller.ask(&format!("PUT a n{number}"));
-        if !answer.done() {
+        let answer = caller.query(&format!("PUT a n{number}"));
+        if !answer.is_done() {
             refused.push(answer);
         }
     }
@@ -178,17 +182,17 @@
     let (site, _, other) = site("lapsed").await;
     let mut caller = site.caller(other, LATEST);
 
-    site.store("down", true).await;
+    site.store_fault("down", true).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let during = caller.ask("PUT a during");
-    site.store("down", false).await;
+    let during = caller.query("PUT a during");
+    site.store_fault("down", false).await;
     let until = Instant::now() + Duration::from_secs(4);
     let (kept, unknown) = write_numbers(&mut caller, until);
 
-    assert!(during.done(), "{during:?}");
+    assert!(during.is_done(), "{during:?}");
     assert!(kept.len() > 20 && unknown.is_empty(), "{unknown:?}");
     let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.lines("connect"));
+    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
 /// A refused statement is found in the logs of both proxies under its id.
@@ -196,20 +200,20 @@
 async fn refusal_is_explained_by_both_proxies() {
     let (site, owner, other) = site("explained").await;
     let mut caller = site.caller(other, LATEST);
-    assert!(caller.ask("PUT a v").done());
+    assert!(caller.query("PUT a v").is_done());
     std::thread::sleep(Duration::from_millis(800));
 
     for replica in [1, 2] {
         site.fault(replica, "silent", true).await;
     }
     caller.send("QUERY unproved FETCH a");
-    let answer = caller.answer();
+    let answer = caller.read_answer();
 
     assert_eq!(answer.code(), "BUSY");
     let both = fixture::eventually(Duration::from_secs(5), || async {
         [owner, other]
             .iter()
-            .all(|index| site.logged(*index, "unproved"))
+            .all(|index| site.has_logged(*index, "unproved"))
     });
     assert!(both.await);
 }
@@ -220,19 +224,19 @@
 async fn proxy_that_reaches_no_owner_serves_its_callers() {
     let (mut site, _, other) = site("alone").await;
     let mut caller = site.caller(other, LATEST);
-    assert!(caller.ask("PUT a before").done());
+    assert!(caller.query("PUT a before").is_done());
 
     for (index, proxy) in site.proxies.iter_mut().enumerate() {
         if index != other {
             proxy.process.kill();
         }
     }
-    let waited = caller.ask_until_done("PUT a after", OWNER_LOST * 2);
+    let waited = caller.query_until_done("PUT a after", OWNER_LOST * 2);
 
     assert!(waited <= OWNER_LOST, "{waited:?}");
-    assert!(caller.ask("BEGIN").done());
-    assert!(caller.ask("PUT a inside").done());
-    assert!(caller.ask("COMMIT").done());
+    assert!(caller.query("BEGIN").is_done());
+    assert!(caller.query("PUT a inside").is_done());
+    assert!(caller.query("COMMIT").is_done());
 }
 
 /// Twelve proxies start together before servers that take eight connections. None takes itself for an owner
@@ -240,10 +244,10 @@
 #[tokio::test]
 async fn proxies_that_start_together_stay_within_the_connections() {
     let site = Site::start_limited("together", 12, FEW, &[]).await;
-    site.owners(1).await;
+    site.wait_for_owners(1).await;
     let mut caller = site.caller(0, SESSION);
 
-    assert!(caller.ask("PUT a one").done());
+    assert!(caller.query("PUT a one").is_done());
     let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.lines("connect"));
+    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
 }
--- a/crates/e2e/tests/line.rs
+++ b/crates/e2e/tests/line.rs
@@ -10,8 +10,8 @@
 /// Reads `item` until it is there, as replicas apply a little later.
 fn served_by_replica(caller: &mut Caller, item: &str) -> bool {
     (0..50).any(|_| {
-        let answer = caller.ask(&format!("FETCH {item}"));
-        assert!(answer.done(), "{answer:?}");
+        let answer = caller.query(&format!("FETCH {item}"));
+        assert!(answer.is_done(), "{answer:?}");
         std::thread::sleep(Duration::from_millis(10));
         answer.server() != "i-0"
     })
@@ -22,12 +22,12 @@
     let site = Site::start("served", 1).await;
     let mut caller = site.caller(0, LATEST);
 
-    let put = caller.ask("PUT a one");
-    let fetch = caller.ask("FETCH a");
+    let put = caller.query("PUT a one");
+    let fetch = caller.query("FETCH a");
 
-    assert_eq!(put.end, "DONE i-0.1");
+    assert_eq!(put.completion, "DONE i-0.1");
     assert_eq!(
-        (rows(&fetch), fetch.end.as_str()),
+        (rows(&fetch), fetch.completion.as_str()),
         (vec!["one"], "DONE i-0.1")
     );
     assert_eq!(fetch.state, "I");
@@ -41,8 +41,8 @@
     let mut second = site.caller(1, LATEST);
 
     for round in 0..10 {
-        assert!(first.ask(&format!("PUT a {round}")).done());
-        let seen = second.ask("FETCH a");
+        assert!(first.query(&format!("PUT a {round}")).is_done());
+        let seen = second.query("FETCH a");
 
         assert_eq!(rows(&seen), [round.to_string()]);
     }
@@ -55,9 +55,9 @@
     let mut caller = site.caller(0, SESSION);
 
     for round in 0..10 {
-        assert!(caller.ask(&format!("PUT a {round}")).done());
+        assert!(caller.query(&format!("PUT a {round}")).is_done());
 
-        assert_eq!(rows(&caller.ask("FETCH a")), [round.to_string()]);
+        assert_eq!(rows(&caller.query("FETCH a")), [round.to_string()]);
     }
 }
 
@@ -65,7 +65,7 @@
 async fn reads_with_an_allowance_run_on_replicas() {
     let site = Site::start("replicas", 1).await;
     let mut caller = site.caller(0, SESSION);
-    assert!(caller.ask("PUT a one").done());
+    assert!(caller.query("PUT a one").is_done());
 
     assert!(served_by_replica(&mut caller, "a"));
 }
@@ -75,16 +75,16 @@
     let site = Site::start("transaction", 1).await;
     let mut caller = site.caller(0, LATEST);
 
-    assert_eq!(caller.ask("BEGIN").state, "T");
-    assert!(caller.ask("PUT a kept").done());
-    assert_eq!(rows(&caller.ask("FETCH a")), ["kept"]);
-    assert_eq!(caller.ask("COMMIT").state, "I");
-    assert!(caller.ask("BEGIN").done());
-    assert!(caller.ask("PUT a dropped").done());
-    assert_eq!(caller.ask("ROLLBACK").state, "I");
+    assert_eq!(caller.query("BEGIN").state, "T");
+    assert!(caller.query("PUT a kept").is_done());
+    assert_eq!(rows(&caller.query("FETCH a")), ["kept"]);
+    assert_eq!(caller.query("COMMIT").state, "I");
+    assert!(caller.query("BEGIN").is_done());
+    assert!(caller.query("PUT a dropped").is_done());
+    assert_eq!(caller.query("ROLLBACK").state, "I");
 
-    assert_eq!(rows(&caller.ask("FETCH a")), ["kept"]);
-    assert_eq!(site.count("a", "dropped").await, 0);
+    assert_eq!(rows(&caller.query("FETCH a")), ["kept"]);
+    assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
 /// Two sessions share the few connections; neither may see the other's values or names.
@@ -93,22 +93,22 @@
     let site = Site::start("names", 1).await;
     let mut callers = [site.caller(0, LATEST), site.caller(0, LATEST)];
     for (index, caller) in callers.iter_mut().enumerate() {
-        assert!(caller.ask(&format!("SET owner {index}")).done());
-        assert!(caller.ask("PREPARE get FETCH q1").done());
+        assert!(caller.query(&format!("SET owner {index}")).is_done());
+        assert!(caller.query("PREPARE get FETCH q1").is_done());
     }
-    assert!(callers[0].ask("SET only first").done());
+    assert!(callers[0].query("SET only first").is_done());
     let mut plain = site.caller(0, LATEST);
 
     for _ in 0..5 {
-        let first = callers[0].ask("EXEC get a");
-        let second = callers[1].ask("EXEC get a");
-        let bare = plain.ask("FETCH a");
+        let first = callers[0].query("EXEC get a");
+        let second = callers[1].query("EXEC get a");
+        let bare = plain.query("FETCH a");
 
         assert_eq!(rows(&first), ["-", "only=first", "owner=0"]);
         assert_eq!(rows(&second), ["-", "owner=1"]);
         assert_eq!(rows(&bare), ["-"]);
     }
-    assert_eq!(plain.ask("EXEC get a").code(), "NOSTMT");
+    assert_eq!(plain.query("EXEC get a").code(), "NOSTMT");
 }
 
 #[tokio::test]
@@ -118,8 +118,8 @@
 
     caller.send("START nothing test");
 
-    assert!(caller.line().starts_with("ERR NODB"));
-    assert_eq!(caller.line(), "");
+    assert!(caller.next_line().starts_with("ERR NODB"));
+    assert_eq!(caller.next_line(), "");
 }
 
 /// A database is added and another dropped; open sessions follow with their next statement, and a
@@ -134,16 +134,16 @@
         let in_force = fixture::eventually(Duration::from_secs(3), || async {
             let mut caller = site.connect(proxy);
             caller.send("START new-db test");
-            caller.line().starts_with("READY")
+            caller.next_line().starts_with("READY")
         });
         assert!(in_force.await);
     }
-    let gone = dropped.ask("FETCH a");
+    let gone = dropped.query("FETCH a");
     site.configure(4, &[SESSION]).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     assert_eq!(gone.code(), "NODB");
-    assert!(site.caller(0, "new-db").ask("FETCH a").done());
+    assert!(site.caller(0, "new-db").query("FETCH a").is_done());
 }
 
 /// Bytes that are no message end their own session and nobody else's.
@@ -156,15 +156,15 @@
     for bad in ["NONSENSE", "\u{1}\u{2}", "QUERY", long.as_str()] {
         let mut caller = site.caller(0, LATEST);
         caller.send(bad);
-        let _ = caller.line();
+        let _ = caller.next_line();
     }
     let mut half = site.connect(0);
     half.send("START");
     drop(half);
-    let unclear = other.ask("MAKE TEA");
+    let unclear = other.query("MAKE TEA");
 
     assert_eq!(unclear.code(), "SYNTAX");
-    assert!(other.ask("PUT a one").done());
+    assert!(other.query("PUT a one").is_done());
 }
 
 /// A message of the largest size passes in both directions.
@@ -174,9 +174,9 @@
     let mut caller = site.caller(0, LATEST);
     let data = "x".repeat((1 << 20) - 100);
 
-    assert!(caller.ask(&format!("PUT a {data}")).done());
+    assert!(caller.query(&format!("PUT a {data}")).is_done());
 
-    assert_eq!(rows(&caller.ask("FETCH a")), [data]);
+    assert_eq!(rows(&caller.query("FETCH a")), [data]);
 }
 
 /// Statements sent without waiting are answered in order, each with its own answer.
@@ -190,8 +190,8 @@
     }
 
     for round in 0..10 {
-        assert!(caller.answer().done());
-        assert_eq!(rows(&caller.answer()), [round.to_string()]);
+        assert!(caller.read_answer().is_done());
+        assert_eq!(rows(&caller.read_answer()), [round.to_string()]);
     }
 }
 
@@ -199,7 +199,7 @@
 #[tokio::test]
 async fn metrics_are_served_as_text() {
     let site = Site::start("metrics", 1).await;
-    assert!(site.caller(0, LATEST).ask("PUT a one").done());
+    assert!(site.caller(0, LATEST).query("PUT a one").is_done());
 
     let url = format!("http://{}/metrics", site.proxies[0].operator);
     let answer = reqwest::get(url).await.expect("the proxy answers");
--- a/crates/e2e/tests/line_commits.rs
+++ b/crates/e2e/tests/line_commits.rs
@@ -17,10 +17,10 @@
 async fn commit_at_a_promotion(name: &str) -> (Site, Caller) {
     let site = Site::start(name, 1).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("PUT a first").done());
+    assert!(caller.query("PUT a first").is_done());
     site.fault(2, "cut", true).await;
     for held in [1, 2] {
-        assert!(site.order(held, "PAUSE 2").await.done());
+        assert!(site.send_command(held, "PAUSE 2").await.is_done());
     }
     tokio::time::sleep(HOLD).await;
     caller.send("QUERY late PUT a second");
@@ -38,11 +38,11 @@
 async fn commit_received_after_a_promotion_is_not_acknowledged() {
     let (site, mut caller) = commit_at_a_promotion("late-commit").await;
 
-    let answer = caller.answer();
+    let answer = caller.read_answer();
 
     assert_eq!(site.group().await["leader"], 2);
-    assert_eq!(site.count("a", "second").await, 0);
-    assert!(!answer.done(), "{answer:?}");
+    assert_eq!(site.count_in_log("a", "second").await, 0);
+    assert!(!answer.is_done(), "{answer:?}");
 }
 
 /// As above, but the new primary is reached again while the old one's commit still waits, and serves
@@ -55,10 +55,10 @@
 
     tokio::time::sleep(Duration::from_millis(100)).await;
     site.fault(2, "cut", false).await;
-    let third = other.ask("PUT a third");
-    let answer = caller.answer();
+    let third = other.query("PUT a third");
+    let answer = caller.read_answer();
 
     assert_eq!(site.group().await["leader"], 2);
-    assert_eq!(site.count("a", "second").await, 0);
-    assert!(!answer.done(), "{answer:?}, after {third:?}");
+    assert_eq!(site.count_in_log("a", "second").await, 0);
+    assert!(!answer.is_done(), "{answer:?}, after {third:?}");
 }
--- a/crates/e2e/tests/line_failovers.rs
+++ b/crates/e2e/tests/line_failovers.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use fixture::line::{Site, FAILOVER_LIMIT, LATEST};
+use fixture::line::{Site, FAILOVER_TIMEOUT, LATEST};
 
 /// For how long callers write: until the next promotion, if there is one, has taken effect.
 const WRITES_FOR: Duration = Duration::from_millis(2_500);
@@ -23,21 +23,21 @@
         "1000",
     ];
     let site = Site::start_with(name, 1, &arguments).await;
-    assert_eq!(site.holder().await, 0);
-    assert!(site.caller(0, LATEST).ask("PUT first v").done());
+    assert_eq!(site.failover_leader().await, 0);
+    assert!(site.caller(0, LATEST).query("PUT first v").is_done());
     site
 }
 
 /// Waits for a line of the proxy's log.
 async fn logged(site: &Site, text: &str) {
-    let seen = fixture::eventually(FAILOVER_LIMIT, || async { site.logged(0, text) });
+    let seen = fixture::eventually(FAILOVER_TIMEOUT, || async { site.has_logged(0, text) });
     assert!(seen.await, "no {text} in the log");
 }
 
 /// Waits until a promotion has been called for; returns the server that will lead, and the other replica.
 async fn promoted(site: &Site) -> (usize, usize) {
     logged(site, "\"kind\":\"promoted\"").await;
-    match site.logged(
+    match site.has_logged(
         0,
         "\"server\":\"i-1\",\"service\":\"ledger\",\"term\":2,\"took_ms\"",
     ) {
@@ -56,7 +56,7 @@
             break;
         }
         let item = format!("k{round}");
-        if caller.ask(&format!("PUT {item} v")).done() {
+        if caller.query(&format!("PUT {item} v")).is_done() {
             kept.push(item);
         }
         std::thread::sleep(Duration::from_millis(2));
@@ -67,10 +67,10 @@
 /// The acknowledged writes that are not in the log of the server that leads in the end.
 async fn lost(site: &Site, kept: Vec<String>) -> Vec<String> {
     let mut caller = site.caller(0, LATEST);
-    caller.ask_until_done("PUT last v", FAILOVER_LIMIT * 2);
+    caller.query_until_done("PUT last v", FAILOVER_TIMEOUT * 2);
     let mut lost = Vec::new();
     for item in kept {
-        if site.count(&item, "v").await != 1 {
+        if site.count_in_log(&item, "v").await != 1 {
             lost.push(item);
         }
     }
@@ -90,7 +90,7 @@
 
     // The promoter looks again 1.2 s after its call, and judges for 300 ms.
     let another = fixture::eventually(Duration::from_secs(2), || async {
-        site.lines("\"kind\":\"failover\"").len() > 1
+        site.log_lines_with("\"kind\":\"failover\"").len() > 1
     });
     another.await;
     site.fault(new, "busy", false).await;
@@ -124,13 +124,13 @@
 #[tokio::test]
 async fn old_primary_that_is_back_acknowledges_nothing_after_the_promotion() {
     let site = site("back").await;
-    site.cut_from(1, 2, true).await;
+    site.partition_servers(1, 2, true).await;
     site.fault(0, "crashed", true).await;
     promoted(&site).await;
 
     site.fault(0, "crashed", false).await;
     let kept = write(&site);
-    site.cut_from(1, 2, false).await;
+    site.partition_servers(1, 2, false).await;
 
     assert_eq!(lost(&site, kept).await, Vec::<String>::new());
 }
--- a/crates/e2e/tests/line_faults.rs
+++ b/crates/e2e/tests/line_faults.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use fixture::line::{rows, Answer, Site, FAILOVER_LIMIT, LATEST, ROSTER_FOLLOWS, SESSION};
+use fixture::line::{rows, Answer, Site, FAILOVER_TIMEOUT, LATEST, SERVER_LIST_DELAY, SESSION};
 
 /// How long the promoter's list goes on counting a server that has vanished: until every proxy that
 /// still counted it has stopped, and a question to the others after that.
@@ -20,14 +20,14 @@
     let site = Site::start("leaves", 1).await;
     for _ in 0..20 {
         let mut caller = site.caller(0, LATEST);
-        assert!(caller.ask("BEGIN").done());
-        assert!(caller.ask("PUT a dropped").done());
+        assert!(caller.query("BEGIN").is_done());
+        assert!(caller.query("PUT a dropped").is_done());
     }
     let mut other = site.caller(0, LATEST);
 
-    other.ask_until_done("PUT b kept", Duration::from_secs(5));
+    other.query_until_done("PUT b kept", Duration::from_secs(5));
 
-    assert_eq!(site.count("a", "dropped").await, 0);
+    assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
 /// A caller rests inside a transaction for longer than allowed: the transaction is rolled back, and
@@ -36,15 +36,15 @@
 async fn rested_transaction_is_rolled_back_and_told_so() {
     let site = Site::start("rests", 1).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("BEGIN").done());
-    assert!(caller.ask("PUT a dropped").done());
+    assert!(caller.query("BEGIN").is_done());
+    assert!(caller.query("PUT a dropped").is_done());
 
     std::thread::sleep(Duration::from_millis(1_000));
-    let late = caller.ask("PUT a late");
+    let late = caller.query("PUT a late");
 
     assert_eq!((late.code(), late.state.as_str()), ("ABORTED", "E"));
-    assert!(caller.ask("ROLLBACK").done());
-    assert_eq!(site.count("a", "late").await, 0);
+    assert!(caller.query("ROLLBACK").is_done());
+    assert_eq!(site.count_in_log("a", "late").await, 0);
 }
 
 /// The store forgets its history while the configuration changes: the proxy reads everything anew.
@@ -52,14 +52,14 @@
 async fn configuration_is_followed_across_a_forgotten_history() {
     let site = Site::start("history", 1).await;
 
-    site.store("down", true).await;
+    site.store_fault("down", true).await;
     site.configure(5, &[LATEST, "new-db"]).await;
-    site.store("forget", true).await;
-    site.store("down", false).await;
+    site.store_fault("forget", true).await;
+    site.store_fault("down", false).await;
     let in_force = fixture::eventually(Duration::from_secs(5), || async {
         let mut caller = site.connect(0);
         caller.send("START new-db test");
-        caller.line().starts_with("READY")
+        caller.next_line().starts_with("READY")
     });
 
     assert!(in_force.await);
@@ -71,11 +71,11 @@
     let site = Site::start("no-store", 1).await;
     let mut caller = site.caller(0, LATEST);
 
-    site.store("down", true).await;
+    site.store_fault("down", true).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
 
-    assert!(caller.ask("PUT a one").done());
-    assert!(site.ready_now(0).await);
+    assert!(caller.query("PUT a one").is_done());
+    assert!(site.is_ready_now(0).await);
 }
 
 /// Callers write all the time while the primary's VM dies. Writes go on at another server, and
@@ -86,19 +86,23 @@
     let mut caller = site.caller(0, LATEST);
     let mut acknowledged = Vec::new();
     for round in 0..20 {
-        if caller.ask(&format!("PUT k{round} v")).done() {
+        if caller.query(&format!("PUT k{round} v")).is_done() {
             acknowledged.push(round);
         }
     }
 
     site.fault(0, "dead", true).await;
-    let gap = caller.ask_until_done("PUT after v", FAILOVER_LIMIT);
+    let gap = caller.query_until_done("PUT after v", FAILOVER_TIMEOUT);
     let group = site.group().await;
 
     println!("write gap {gap:?}");
     assert_ne!(group["leader"], 0);
     for round in acknowledged {
-        assert_eq!(site.count(&format!("k{round}"), "v").await, 1, "k{round}");
+        assert_eq!(
+            site.count_in_log(&format!("k{round}"), "v").await,
+            1,
+            "k{round}"
+        );
     }
 }
 
@@ -108,13 +112,13 @@
 #[tokio::test]
 async fn primary_and_holder_lost_together() {
     let site = Site::start("both-lost", 3).await;
-    let holder = site.holder().await;
+    let holder = site.failover_leader().await;
     let mut caller = site.caller((holder + 1) % 3, LATEST);
-    assert!(caller.ask("PUT a one").done());
+    assert!(caller.query("PUT a one").is_done());
 
     site.proxies[holder].process.set_paused(true);
     site.fault(0, "dead", true).await;
-    let gap = caller.ask_until_done("PUT a two", FAILOVER_LIMIT * 2);
+    let gap = caller.query_until_done("PUT a two", FAILOVER_TIMEOUT * 2);
     site.proxies[holder].process.set_paused(false);
 
     println!("write gap {gap:?}");
@@ -126,20 +130,20 @@
 #[tokio::test]
 async fn holder_that_is_stopped_finishes_its_attempt() {
     let site = Site::start("stopped-holder", 2).await;
-    let holder = site.holder().await;
+    let holder = site.failover_leader().await;
     let mut caller = site.caller(1 - holder, LATEST);
-    assert!(caller.ask("PUT a one").done());
+    assert!(caller.query("PUT a one").is_done());
 
     site.fault(0, "dead", true).await;
-    let begun = fixture::eventually(FAILOVER_LIMIT, || async {
-        site.logged(holder, "\"kind\":\"failover\"")
+    let begun = fixture::eventually(FAILOVER_TIMEOUT, || async {
+        site.has_logged(holder, "\"kind\":\"failover\"")
     });
     assert!(begun.await);
     site.proxies[holder].process.terminate();
-    caller.ask_until_done("PUT a two", FAILOVER_LIMIT);
+    caller.query_until_done("PUT a two", FAILOVER_TIMEOUT);
 
-    assert!(site.logged(holder, "\"kind\":\"promoted\""));
-    assert!(!site.logged(1 - holder, "\"kind\":\"failover\""));
+    assert!(site.has_logged(holder, "\"kind\":\"promoted\""));
+    assert!(!site.has_logged(1 - holder, "\"kind\":\"failover\""));
 }
 
 /// A replica runs that no proxy knows of: it has just come and its registration is not seen yet. It alone
@@ -149,26 +153,26 @@
 async fn commit_that_only_an_unlisted_replica_has_is_not_acknowledged() {
     let site = Site::start("unlisted", 1).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("PUT a listed").done());
+    assert!(caller.query("PUT a listed").is_done());
     site.fault(2, "unlisted", true).await;
-    let forgotten = fixture::eventually(FAILOVER_LIMIT, || async {
-        site.logged(0, "\"kind\":\"servers gone\"")
+    let forgotten = fixture::eventually(FAILOVER_TIMEOUT, || async {
+        site.has_logged(0, "\"kind\":\"servers gone\"")
     });
     assert!(forgotten.await);
     tokio::time::sleep(ROSTER_FORGETS).await;
 
     site.fault(1, "deaf", true).await;
-    let answer = caller.ask("PUT a unlisted");
+    let answer = caller.query("PUT a unlisted");
     site.fault(0, "dead", true).await;
-    let promoted = fixture::eventually(FAILOVER_LIMIT, || async {
+    let promoted = fixture::eventually(FAILOVER_TIMEOUT, || async {
         site.group().await["promotions"] != 0
     });
     assert!(promoted.await);
     site.fault(2, "unlisted", false).await;
-    caller.ask_until_done("PUT b after", FAILOVER_LIMIT);
+    caller.query_until_done("PUT b after", FAILOVER_TIMEOUT);
 
     assert_eq!(answer.code(), "UNKNOWN", "{answer:?}");
-    assert_eq!(site.count("a", "unlisted").await, 0);
+    assert_eq!(site.count_in_log("a", "unlisted").await, 0);
 }
 
 /// The primary is cut off from its replicas and still answers the proxies: a commit there would
@@ -177,17 +181,17 @@
 async fn cut_off_primary_is_replaced_and_not_read_any_more() {
     let site = Site::start("cut", 2).await;
     let mut writer = site.caller(0, LATEST);
-    assert!(writer.ask("PUT a old").done());
+    assert!(writer.query("PUT a old").is_done());
 
     site.fault(0, "cut", true).await;
-    writer.ask_until_done("PUT a new", FAILOVER_LIMIT * 2);
+    writer.query_until_done("PUT a new", FAILOVER_TIMEOUT * 2);
     let mut reader = site.caller(1, LATEST);
-    let seen: Vec<Answer> = (0..20).map(|_| reader.ask("FETCH a")).collect();
+    let seen: Vec<Answer> = (0..20).map(|_| reader.query("FETCH a")).collect();
 
-    for answer in seen.iter().filter(|answer| answer.done()) {
+    for answer in seen.iter().filter(|answer| answer.is_done()) {
         assert_eq!(rows(answer), ["new"]);
     }
-    assert!(seen.iter().any(Answer::done));
+    assert!(seen.iter().any(Answer::is_done));
 }
 
 /// The primary is to be stopped: another server leads before it is, and no write is in doubt.
@@ -195,14 +199,14 @@
 async fn leaving_primary_is_replaced_without_a_doubtful_write() {
     let site = Site::start("leaving", 1).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("PUT a 0").done());
+    assert!(caller.query("PUT a 0").is_done());
 
     site.fault(0, "leaving", true).await;
     let mut codes = Vec::new();
     let mut moved = false;
     for round in 1..200 {
-        let answer = caller.ask(&format!("PUT a {round}"));
-        match answer.done() {
+        let answer = caller.query(&format!("PUT a {round}"));
+        match answer.is_done() {
             true => moved = answer.server() != "i-0",
             false => codes.push(answer.code().to_owned()),
         }
@@ -222,19 +226,19 @@
 async fn write_without_an_answer_is_not_repeated() {
     let site = Site::start("doubt", 1).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("PUT a 0").done());
+    assert!(caller.query("PUT a 0").is_done());
 
     for server in [1, 2] {
         site.fault(server, "deaf", true).await;
     }
-    let answer = caller.ask("PUT doubtful v");
+    let answer = caller.query("PUT doubtful v");
     for server in [1, 2] {
         site.fault(server, "deaf", false).await;
     }
-    caller.ask_until_done("PUT a 1", FAILOVER_LIMIT);
+    caller.query_until_done("PUT a 1", FAILOVER_TIMEOUT);
 
     assert!(["UNKNOWN", "BUSY"].contains(&answer.code()), "{answer:?}");
-    assert!(site.count("doubtful", "v").await <= 1);
+    assert!(site.count_in_log("doubtful", "v").await <= 1);
 }
 
 /// The proxy is cut off with the primary: the first write hangs and its outcome is unknown. Writes
@@ -244,7 +248,7 @@
     let site = Site::start("hangs", 1).await;
     let mut first = site.caller(0, LATEST);
     let mut second = site.caller(0, LATEST);
-    assert!(first.ask("PUT a 0").done());
+    assert!(first.query("PUT a 0").is_done());
     site.fault(0, "cut", true).await;
     for replica in [1, 2] {
         site.fault(replica, "silent", true).await;
@@ -252,12 +256,12 @@
 
     first.send("QUERY hangs PUT b v");
     std::thread::sleep(Duration::from_millis(300));
-    let later = second.ask("PUT c v");
-    let hung = first.answer();
+    let later = second.query("PUT c v");
+    let hung = first.read_answer();
 
     assert_eq!(hung.code(), "UNKNOWN");
     assert_eq!(later.code(), "BUSY", "{later:?}");
-    assert_eq!(site.count("c", "v").await, 0);
+    assert_eq!(site.count_in_log("c", "v").await, 0);
 }
 
 /// A planned stop: the proxy is not ready at once, an open transaction may end, a resting session is
@@ -267,28 +271,28 @@
     let mut site = Site::start("stop", 1).await;
     let mut open = site.caller(0, LATEST);
     let mut resting = site.caller(0, LATEST);
-    assert!(open.ask("BEGIN").done());
-    assert!(open.ask("PUT a one").done());
+    assert!(open.query("BEGIN").is_done());
+    assert!(open.query("PUT a one").is_done());
 
     site.proxies[0].process.terminate();
     let unready = fixture::eventually(Duration::from_secs(1), || async {
-        !site.ready_now(0).await
+        !site.is_ready_now(0).await
     });
     assert!(unready.await);
     let mut late = site.caller(0, LATEST);
     assert!(
-        late.ask("FETCH b").done(),
+        late.query("FETCH b").is_done(),
         "callers still come for a moment"
     );
     std::thread::sleep(Duration::from_millis(400));
-    let commit = open.ask("COMMIT");
+    let commit = open.query("COMMIT");
 
-    assert!(commit.done(), "{commit:?}");
-    assert_eq!(resting.line(), "", "closed without a word");
+    assert!(commit.is_done(), "{commit:?}");
+    assert_eq!(resting.next_line(), "", "closed without a word");
     assert!(site.proxies[0]
         .process
         .wait_for_exit(Duration::from_secs(6)));
-    assert_eq!(site.count("a", "one").await, 1);
+    assert_eq!(site.count_in_log("a", "one").await, 1);
 }
 
 /// All proxies are killed at once: with no disk, the store alone brings the service back.
@@ -304,8 +308,8 @@
         site.proxies[index] = site.start_proxy(index);
     }
 
-    assert!(site.is_ready(0).await && site.is_ready(1).await);
-    assert!(site.caller(1, "new-db").ask("PUT a one").done());
+    assert!(site.becomes_ready(0).await && site.becomes_ready(1).await);
+    assert!(site.caller(1, "new-db").query("PUT a one").is_done());
 }
 
 /// A proxy dies in the middle of a transaction: nothing of it is kept.
@@ -313,14 +317,14 @@
 async fn proxy_killed_inside_a_transaction_keeps_nothing() {
     let mut site = Site::start("killed", 2).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("BEGIN").done());
-    assert!(caller.ask("PUT a dropped").done());
+    assert!(caller.query("BEGIN").is_done());
+    assert!(caller.query("PUT a dropped").is_done());
 
     site.proxies[0].process.kill();
-    let other = site.caller(1, LATEST).ask("FETCH a");
+    let other = site.caller(1, LATEST).query("FETCH a");
 
     assert_eq!(rows(&other), ["-"]);
-    assert_eq!(site.count("a", "dropped").await, 0);
+    assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
 /// Another writer puts entries among the registrations: bytes that are none, fields of another type, a
@@ -335,20 +339,22 @@
         )
     };
 
-    site.entry("odd-bytes", "\u{0}not an entry").await;
-    site.entry("odd-state", &entry("\"asleep\"")).await;
-    site.entry("odd-type", &entry("7")).await;
+    site.put_registration("odd-bytes", "\u{0}not an entry")
+        .await;
+    site.put_registration("odd-state", &entry("\"asleep\""))
+        .await;
+    site.put_registration("odd-type", &entry("7")).await;
     let mut caller = site.caller(0, SESSION);
     let noted = fixture::eventually(Duration::from_secs(5), || async {
         let odd = ["odd-bytes", "odd-state", "odd-type"];
         odd.iter()
-            .all(|id| site.logged(0, &format!("registration of {id}")))
+            .all(|id| site.has_logged(0, &format!("registration of {id}")))
     });
 
     assert!(noted.await);
     for round in 0..20 {
-        assert!(caller.ask(&format!("PUT a {round}")).done());
-        assert_eq!(rows(&caller.ask("FETCH a")), [round.to_string()]);
+        assert!(caller.query(&format!("PUT a {round}")).is_done());
+        assert_eq!(rows(&caller.query("FETCH a")), [round.to_string()]);
     }
 }
 
@@ -358,21 +364,21 @@
 async fn reads_go_on_without_a_primary() {
     let site = Site::start("no-primary", 1).await;
     let mut caller = site.caller(0, SESSION);
-    assert!(caller.ask("PUT a one").done());
-    tokio::time::sleep(ROSTER_FOLLOWS).await;
+    assert!(caller.query("PUT a one").is_done());
+    tokio::time::sleep(SERVER_LIST_DELAY).await;
 
-    site.store("down", true).await;
+    site.store_fault("down", true).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     site.fault(0, "dead", true).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let answers: Vec<Answer> = (0..50)
         .map(|_| {
             std::thread::sleep(Duration::from_millis(40));
-            caller.ask("FETCH a")
+            caller.query("FETCH a")
         })
         .collect();
 
     let served = answers.iter().filter(|answer| rows(answer) == ["one"]);
     assert!(served.count() >= 45, "{answers:?}");
-    assert_eq!(caller.ask("PUT a two").code(), "BUSY");
+    assert_eq!(caller.query("PUT a two").code(), "BUSY");
 }
--- a/crates/e2e/tests/line_feed.rs
+++ b/crates/e2e/tests/line_feed.rs
@@ -35,7 +35,7 @@
 /// Waits until `version` is in force everywhere but at `left_out`.
 async fn in_force_but_at(site: &Site, version: u64, left_out: &[usize]) {
     for index in (0..PROXIES).filter(|index| !left_out.contains(index)) {
-        site.in_force_at(index, version).await;
+        site.wait_for_version_at(index, version).await;
     }
 }
 
@@ -74,7 +74,7 @@
     for index in &feeders {
         site.proxies[*index].process.set_paused(false);
     }
-    site.in_force(2).await;
+    site.wait_for_version(2).await;
 }
 
 /// Both feeders are killed at once, and start again a moment later. Two configurations are put, one while they
@@ -93,11 +93,11 @@
         site.proxies[*index] = proxy;
     }
     for index in &feeders {
-        assert!(site.is_ready(*index).await, "{index} is not ready");
+        assert!(site.becomes_ready(*index).await, "{index} is not ready");
     }
     site.configure(3, &[LATEST, SESSION]).await;
 
-    site.in_force(3).await;
+    site.wait_for_version(3).await;
 }
 
 /// A feeder is stopped as planned: its followers turn to others before it ends, and miss nothing.
@@ -117,13 +117,13 @@
 #[tokio::test]
 async fn followers_hear_again_after_the_store_was_away() {
     let (site, _) = fed("feed-away").await;
-    site.store("down", true).await;
+    site.store_fault("down", true).await;
     tokio::time::sleep(Duration::from_secs(4)).await;
-    site.store("down", false).await;
-    site.store("forget", true).await;
+    site.store_fault("down", false).await;
+    site.store_fault("forget", true).await;
 
     site.configure(2, &[LATEST, SESSION]).await;
-    site.in_force(2).await;
+    site.wait_for_version(2).await;
 
     let settled = fixture::eventually(Duration::from_secs(10), || async {
         feeders(&site).await.len() == FEEDERS
--- a/crates/e2e/tests/line_restarts.rs
+++ b/crates/e2e/tests/line_restarts.rs
@@ -2,7 +2,7 @@
 
 mod fixture;
 
-use fixture::line::{rows, Site, FAILOVER_LIMIT, LATEST, ROSTER_FOLLOWS, SESSION};
+use fixture::line::{rows, Site, FAILOVER_TIMEOUT, LATEST, SERVER_LIST_DELAY, SESSION};
 
 /// A caller hears that its commit is kept, as replica 1 has it; replica 2 is behind. Replica 1 crashes
 /// behind a cut and starts again under its id with nothing, and the primary is lost. Replica 1 and
@@ -12,24 +12,24 @@
 async fn empty_replica_under_an_old_id_is_no_reason_to_promote() {
     let site = Site::start("empty", 2).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("PUT a first").done());
+    assert!(caller.query("PUT a first").is_done());
     site.fault(2, "deaf", true).await;
-    tokio::time::sleep(ROSTER_FOLLOWS).await;
-    assert!(caller.ask("PUT a kept").done());
+    tokio::time::sleep(SERVER_LIST_DELAY).await;
+    assert!(caller.query("PUT a kept").is_done());
 
     site.fault(1, "cut", true).await;
     site.restart(1).await;
     site.fault(0, "dead", true).await;
-    tokio::time::sleep(FAILOVER_LIMIT).await;
+    tokio::time::sleep(FAILOVER_TIMEOUT).await;
     let promotions = site.group().await["promotions"].clone();
     site.fault(1, "cut", false).await;
     site.fault(2, "deaf", false).await;
     site.fault(0, "dead", false).await;
     let mut after = site.caller(0, LATEST);
-    after.ask_until_done("PUT b after", FAILOVER_LIMIT);
+    after.query_until_done("PUT b after", FAILOVER_TIMEOUT);
 
     assert_eq!(promotions, 0);
-    assert_eq!(site.count("a", "kept").await, 1);
+    assert_eq!(site.count_in_log("a", "kept").await, 1);
 }
 
 /// A replica starts again under its id between two reads. The pooled connections lead to its earlier
@@ -38,15 +38,15 @@
 async fn connections_to_an_earlier_life_are_not_used() {
     let site = Site::start("lives", 1).await;
     let mut caller = site.caller(0, SESSION);
-    assert!(caller.ask("PUT a one").done());
+    assert!(caller.query("PUT a one").is_done());
     for _ in 0..10 {
-        assert!(caller.ask("FETCH a").done());
+        assert!(caller.query("FETCH a").is_done());
     }
 
     for server in [1, 2] {
         site.restart(server).await;
         for _ in 0..10 {
-            assert_eq!(rows(&caller.ask("FETCH a")), ["one"]);
+            assert_eq!(rows(&caller.query("FETCH a")), ["one"]);
         }
     }
 }
@@ -57,17 +57,17 @@
 async fn primary_that_starts_again_empty_is_not_read() {
     let site = Site::start("empty-primary", 1).await;
     let mut caller = site.caller(0, LATEST);
-    assert!(caller.ask("PUT a one").done());
+    assert!(caller.query("PUT a one").is_done());
     for _ in 0..5 {
-        assert_eq!(rows(&caller.ask("FETCH a")), ["one"]);
+        assert_eq!(rows(&caller.query("FETCH a")), ["one"]);
     }
 
     site.restart(0).await;
-    let until = std::time::Instant::now() + FAILOVER_LIMIT;
+    let until = std::time::Instant::now() + FAILOVER_TIMEOUT;
     let mut served = 0;
     while std::time::Instant::now() < until {
-        let answer = caller.ask("FETCH a");
-        if answer.done() {
+        let answer = caller.query("FETCH a");
+        if answer.is_done() {
             assert_eq!(rows(&answer), ["one"]);
             served += 1;
         }
--- a/crates/e2e/tests/line_restores.rs
+++ b/crates/e2e/tests/line_restores.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use fixture::line::{rows, Caller, Site, FAILOVER_LIMIT, LATEST, SESSION};
+use fixture::line::{rows, Caller, Site, FAILOVER_TIMEOUT, LATEST, SESSION};
 use serde_json::json;
 
 /// How many versions are put in the time that the store loses, so that its revisions go far back.
@@ -22,7 +22,7 @@
     for version in first..=last {
         site.configure(version, &[LATEST, SESSION]).await;
     }
-    site.in_force(last).await;
+    site.wait_for_version(last).await;
 }
 
 /// A site on which the store has been left alone for so long that there is a copy of before.
@@ -35,7 +35,7 @@
 /// Writes until it is acknowledged, with the same item and data each time.
 fn write(site: &Site, proxy: usize, item: &str, data: &str) {
     let mut caller = site.caller(proxy, LATEST);
-    caller.ask_until_done(&format!("PUT {item} {data}"), FAILOVER_LIMIT * 2);
+    caller.query_until_done(&format!("PUT {item} {data}"), FAILOVER_TIMEOUT * 2);
 }
 
 /// The fencing tokens of all calls for promotions, in their order.
@@ -61,10 +61,10 @@
     let site = site("restore-version", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
-    site.restore(AGE).await;
+    site.restore_store(AGE).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     site.configure(LOST_VERSIONS + 1, &[LATEST, SESSION]).await;
-    site.in_force(LOST_VERSIONS + 1).await;
+    site.wait_for_version(LOST_VERSIONS + 1).await;
     let mut eras = Vec::new();
     for proxy in 0..5 {
         eras.push(site.status(proxy).await["changes"]["era"].clone());
@@ -80,7 +80,7 @@
     let site = site("restore-older", 2).await;
     configure_up_to(&site, 2, 3).await;
 
-    site.restore(AGE).await;
+    site.restore_store(AGE).await;
     let until = Instant::now() + SETTLED;
     let mut lowest = u64::MAX;
     while Instant::now() < until {
@@ -100,11 +100,11 @@
     let site = site("restore-leaving", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
-    site.restore(AGE).await;
+    site.restore_store(AGE).await;
     tokio::time::sleep(SETTLED).await;
     site.fault(2, "leaving", true).await;
     let noticed = fixture::eventually(Duration::from_secs(3), || async {
-        (0..5).all(|proxy| site.logged(proxy, "\"leaving\":true"))
+        (0..5).all(|proxy| site.has_logged(proxy, "\"leaving\":true"))
     })
     .await;
 
@@ -121,7 +121,7 @@
     write(&site, 0, "b", "second");
     let promoted = site.promotions().await.as_array().map_or(0, Vec::len);
 
-    site.restore(AGE * 2).await;
+    site.restore_store(AGE * 2).await;
     write(&site, 1, "c", "third");
     tokio::time::sleep(SETTLED).await;
     site.fault(0, "dead", false).await;
@@ -146,7 +146,7 @@
     let mut site = site("restore-tokens", 3).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
     // Taken anew, so that the token is one of the revisions that are lost.
-    let holder = site.holder().await;
+    let holder = site.failover_leader().await;
     site.kill_proxy(holder);
     tokio::time::sleep(SETTLED).await;
     site.fault(0, "dead", true).await;
@@ -155,7 +155,7 @@
     let before = tokens(&site).await;
 
     (0..3).for_each(|proxy| site.kill_proxy(proxy));
-    site.restore(Duration::from_secs(60)).await;
+    site.restore_store(Duration::from_secs(60)).await;
     for proxy in 0..3 {
         site.proxies[proxy] = site.start_proxy(proxy);
     }
@@ -189,16 +189,16 @@
     let mut restored = 0;
     while begun.elapsed() < Duration::from_secs(9) {
         if begun.elapsed() > Duration::from_secs(2 + 3 * restored) && restored < 2 {
-            site.restore(AGE).await;
+            site.restore_store(AGE).await;
             restored += 1;
         }
         for (proxy, caller) in callers.iter_mut().enumerate() {
-            let answer = caller.ask("FETCH a");
+            let answer = caller.query("FETCH a");
             if rows(&answer) != ["x"] {
                 refused.push(format!("{proxy} at {:?}: {answer:?}", begun.elapsed()));
             }
-            let answer = caller.ask(&format!("PUT k{proxy} y"));
-            if !answer.done() {
+            let answer = caller.query(&format!("PUT k{proxy} y"));
+            if !answer.is_done() {
                 refused.push(format!("{proxy} at {:?}: {answer:?}", begun.elapsed()));
             }
         }
--- a/crates/e2e/tests/line_standin.rs
+++ b/crates/e2e/tests/line_standin.rs
@@ -35,7 +35,7 @@
 }
 
 fn ask_status(server: &mut Caller) -> Vec<String> {
-    status(&server.ask("STATUS"))
+    status(&server.query("STATUS"))
 }
 
 /// A replica is called to be promoted. Until that takes effect the old primary leads and the replica stays
@@ -45,8 +45,11 @@
 async fn promotion_takes_effect_after_its_call() {
     let site = site("effect").await;
     let (mut first, mut second) = (site.server(0).await, site.server(1).await);
-    assert!(first.ask("PUT a one").done());
-    assert_eq!(status(&second.ask("PAUSE 2")), ["replica", "1", "1.1", "2"]);
+    assert!(first.query("PUT a one").is_done());
+    assert_eq!(
+        status(&second.query("PAUSE 2")),
+        ["replica", "1", "1.1", "2"]
+    );
 
     site.promote(1).await;
     let at_call = ask_status(&mut second);
@@ -69,15 +72,15 @@
 async fn replica_that_comes_back_has_its_log_and_forgets_the_hold() {
     let site = site("comes-back").await;
     let (mut first, mut second) = (site.server(0).await, site.server(1).await);
-    assert!(first.ask("PUT a one").done());
-    assert_eq!(status(&second.ask("PAUSE 2"))[3], "2");
+    assert!(first.query("PUT a one").is_done());
+    assert_eq!(status(&second.query("PAUSE 2"))[3], "2");
 
     site.fault(1, "crashed", true).await;
     site.fault(1, "crashed", false).await;
-    let earlier = second.try_ask("STATUS");
+    let earlier = second.try_query("STATUS");
     let mut second = site.server(1).await;
     let back = ask_status(&mut second);
-    assert!(first.ask("PUT a two").done());
+    assert!(first.query("PUT a two").is_done());
     tokio::time::sleep(RECEIVED).await;
 
     assert_eq!(earlier, None);
@@ -89,7 +92,7 @@
 #[tokio::test]
 async fn primary_that_comes_back_leads_unless_another_was_promoted() {
     let site = site("primary-back").await;
-    assert!(site.server(0).await.ask("PUT a one").done());
+    assert!(site.server(0).await.query("PUT a one").is_done());
 
     site.fault(0, "crashed", true).await;
     site.fault(0, "crashed", false).await;
@@ -110,18 +113,18 @@
 async fn replica_cut_off_from_the_new_primary_follows_the_old_one() {
     let site = site("cut-from").await;
     let mut servers = (site.server(0).await, site.server(2).await);
-    site.cut_from(1, 2, true).await;
-    assert_eq!(status(&servers.1.ask("PAUSE 2"))[3], "2");
+    site.partition_servers(1, 2, true).await;
+    assert_eq!(status(&servers.1.query("PAUSE 2"))[3], "2");
 
     site.promote(1).await;
     tokio::time::sleep(EFFECT + RECEIVED).await;
-    let acknowledged = servers.0.ask("PUT a one");
+    let acknowledged = servers.0.query("PUT a one");
     let cut = ask_status(&mut servers.1);
-    site.cut_from(1, 2, false).await;
+    site.partition_servers(1, 2, false).await;
     tokio::time::sleep(OUTRANKED + RECEIVED).await;
     let joined = ask_status(&mut servers.1);
 
-    assert!(acknowledged.done());
+    assert!(acknowledged.is_done());
     assert_eq!(cut, ["replica", "1", "1.1", "0"]);
     assert_eq!(joined, ["replica", "2", "1.0", "0"]);
 }
@@ -135,10 +138,10 @@
     site.fault(0, "busy", true).await;
     site.fault(1, "busy", true).await;
     let refused = [
-        first.ask("STATUS"),
-        first.ask("STEPDOWN 2"),
-        first.ask("PUT a one"),
-        second.ask("PAUSE 2"),
+        first.query("STATUS"),
+        first.query("STEPDOWN 2"),
+        first.query("PUT a one"),
+        second.query("PAUSE 2"),
     ];
     site.fault(0, "busy", false).await;
     site.fault(1, "busy", false).await;
@@ -154,9 +157,9 @@
 async fn promotions_are_noted_with_their_logs() {
     let site = site("noted").await;
     let mut first = site.server(0).await;
-    assert!(first.ask("PUT a one").done());
-    assert_eq!(status(&site.server(1).await.ask("PAUSE 2"))[3], "2");
-    assert!(first.ask("PUT a two").done());
+    assert!(first.query("PUT a one").is_done());
+    assert_eq!(status(&site.server(1).await.query("PAUSE 2"))[3], "2");
+    assert!(first.query("PUT a two").is_done());
 
     site.promote(1).await;
     tokio::time::sleep(EFFECT + RECEIVED).await;
@@ -171,7 +174,7 @@
 #[tokio::test]
 async fn server_that_has_lost_its_log_is_not_promoted() {
     let site = site("lost-log").await;
-    assert!(site.server(0).await.ask("PUT a one").done());
+    assert!(site.server(0).await.query("PUT a one").is_done());
 
     site.promote(1).await;
     site.restart(1).await;
@@ -186,16 +189,16 @@
 async fn promoted_server_is_crowded_if_asked_for() {
     let site = site("crowded").await;
     let mut second = site.server(1).await;
-    site.crowd_heir(EFFECT * 2).await;
+    site.overload_next_primary(EFFECT * 2).await;
 
-    let before = second.ask("STATUS");
+    let before = second.query("STATUS");
     site.promote(1).await;
-    let answers: Vec<Answer> = (0..16).map(|_| second.ask("STATUS")).collect();
-    let reads: Vec<Answer> = (0..16).map(|_| second.ask("FETCH a")).collect();
+    let answers: Vec<Answer> = (0..16).map(|_| second.query("STATUS")).collect();
+    let reads: Vec<Answer> = (0..16).map(|_| second.query("FETCH a")).collect();
     tokio::time::sleep(EFFECT * 3).await;
-    let after = second.ask("STATUS");
+    let after = second.query("STATUS");
 
-    assert!(before.done() && after.done());
-    assert_eq!(answers.iter().filter(|answer| answer.done()).count(), 1);
-    assert_eq!(reads.iter().filter(|answer| answer.done()).count(), 4);
+    assert!(before.is_done() && after.is_done());
+    assert_eq!(answers.iter().filter(|answer| answer.is_done()).count(), 1);
+    assert_eq!(reads.iter().filter(|answer| answer.is_done()).count(), 4);
 }
--- a/crates/e2e/tests/soak.rs
+++ b/crates/e2e/tests/soak.rs
@@ -63,7 +63,7 @@
     }
     let name = format!("soak-{plan:?}-{store:?}-{seed}");
     let site = Site::start_limited(&name, PROXIES, CONNECTIONS, plan.arguments()).await;
-    site.owners(1).await;
+    site.wait_for_owners(1).await;
     let listen = site.proxies.iter().map(|proxy| proxy.listen.clone());
     let shared = Arc::new(Shared::new(listen.collect()));
     let callers: Vec<_> = (0..CALLERS)
@@ -113,8 +113,8 @@
     for proxy in 0..PROXIES {
         let served = fixture::eventually(RECOVERY, || async {
             let caller = Caller::open(&site.proxies[proxy].listen, LATEST);
-            let answer = caller.and_then(|mut caller| caller.try_ask("PUT recovery x"));
-            answer.is_some_and(|answer| answer.done())
+            let answer = caller.and_then(|mut caller| caller.try_query("PUT recovery x"));
+            answer.is_some_and(|answer| answer.is_done())
         });
         if !served.await {
             return Err(format!(
--- a/crates/e2e/tests/soak/caller.rs
+++ b/crates/e2e/tests/soak/caller.rs
@@ -106,7 +106,7 @@
 
 fn outcome(answer: Option<&Answer>) -> Outcome {
     match answer {
-        Some(answer) if answer.done() => Outcome::Kept,
+        Some(answer) if answer.is_done() => Outcome::Kept,
         Some(answer) => match answer.code() {
             "BUSY" | "ABORTED" | "LAGGING" | "READONLY" | "MOVED" | "MAXCONN" => Outcome::NotRun,
             _ => Outcome::Unknown,
@@ -139,7 +139,7 @@
         let (result, ended) = match in_transaction {
             true => write_in_transaction(open, index, number),
             false => {
-                let answer = open.try_ask(&format!("PUT own{index} {number}"));
+                let answer = open.try_query(&format!("PUT own{index} {number}"));
                 (outcome(answer.as_ref()), answer.is_none())
             }
         };
@@ -161,7 +161,7 @@
 
 /// Two writes that belong together; whether the connection ended.
 fn write_in_transaction(caller: &mut Caller, index: usize, number: u64) -> (Outcome, bool) {
-    let begin = caller.try_ask("BEGIN");
+    let begin = caller.try_query("BEGIN");
     if outcome(begin.as_ref()) != Outcome::Kept {
         // Nothing was asked for yet.
         return (Outcome::NotRun, begin.is_none());
@@ -170,16 +170,16 @@
         format!("PUT own{index} {number}"),
         format!("PUT twin{index} {number}"),
     ] {
-        let answer = caller.try_ask(&text);
+        let answer = caller.try_query(&text);
         if outcome(answer.as_ref()) != Outcome::Kept {
             // Without its COMMIT nothing of it may be kept, whatever became of this statement.
-            let ended = answer.is_none() || caller.try_ask("ROLLBACK").is_none();
+            let ended = answer.is_none() || caller.try_query("ROLLBACK").is_none();
             return (Outcome::NotRun, ended);
         }
     }
-    let commit = caller.try_ask("COMMIT");
+    let commit = caller.try_query("COMMIT");
     let open = commit.as_ref().is_some_and(|answer| answer.state != "I");
-    let ended = commit.is_none() || (open && caller.try_ask("ROLLBACK").is_none());
+    let ended = commit.is_none() || (open && caller.try_query("ROLLBACK").is_none());
     (outcome(commit.as_ref()), ended)
 }
 
@@ -193,11 +193,11 @@
     };
     for item in items {
         let at_least = shared.kept[item].load(Ordering::SeqCst);
-        let Some(answer) = caller.try_ask(&format!("FETCH own{item}")) else {
+        let Some(answer) = caller.try_query(&format!("FETCH own{item}")) else {
             return false;
         };
         shared.statements.fetch_add(1, Ordering::Relaxed);
-        if !answer.done() {
+        if !answer.is_done() {
             continue;
         }
         let seen = answer
--- a/crates/e2e/tests/soak/stage.rs
+++ b/crates/e2e/tests/soak/stage.rs
@@ -59,7 +59,7 @@
                 }
                 Fault::HeirCrowded if begins => {
                     let lasts = steps[index].ends - steps[index].begins;
-                    self.site.crowd_heir(lasts).await;
+                    self.site.overload_next_primary(lasts).await;
                 }
                 fault => self.apply(fault, begins).await,
             }
@@ -85,13 +85,13 @@
             (Fault::ServerCut(server), _) => site.fault(server, "cut", begins).await,
             (Fault::ServerDeaf(server), _) => site.fault(server, "deaf", begins).await,
             (Fault::ServerReborn(server), true) => site.restart(server).await,
-            (Fault::StoreDown, _) => site.store("down", begins).await,
-            (Fault::StoreRestored(_), true) => site.store("down", true).await,
+            (Fault::StoreDown, _) => site.store_fault("down", begins).await,
+            (Fault::StoreRestored(_), true) => site.store_fault("down", true).await,
             (Fault::StoreRestored(age), false) => {
-                site.restore(age).await;
-                site.store("down", false).await;
+                site.restore_store(age).await;
+                site.store_fault("down", false).await;
             }
-            (Fault::StoreForgets, true) => site.store("forget", true).await,
+            (Fault::StoreForgets, true) => site.store_fault("forget", true).await,
             (Fault::Configured, true) => {
                 self.version += 1;
                 site.configure(self.version, &[LATEST, SESSION]).await;
@@ -126,7 +126,7 @@
             Trouble::Cut => site.fault(server, "cut", begins).await,
             Trouble::CutFromNext => {
                 let next = (server + 1) % SERVERS;
-                site.cut_from(server, next, begins).await;
+                site.partition_servers(server, next, begins).await;
             }
             Trouble::Deaf => site.fault(server, "deaf", begins).await,
             Trouble::Leaving => site.fault(server, "leaving", begins).await,
@@ -143,7 +143,7 @@
     }
 
     fn restart(&mut self, proxy: usize) {
-        self.past.extend(self.site.log(proxy));
+        self.past.extend(self.site.proxy_log(proxy));
         self.site.proxies[proxy] = self.site.start_proxy(proxy);
         let listen = self.site.proxies[proxy].listen.clone();
         self.shared.moved(proxy, listen);
@@ -153,7 +153,7 @@
     pub fn log(&self) -> Vec<String> {
         let mut lines = self.past.clone();
         lines.extend(self.site.standin_log());
-        (0..self.site.proxies.len()).for_each(|proxy| lines.extend(self.site.log(proxy)));
+        (0..self.site.proxies.len()).for_each(|proxy| lines.extend(self.site.proxy_log(proxy)));
         lines.sort_by_cached_key(|line| at_ms(line));
         lines
     }
