--- a/crates/e2e/tests/handover.rs
+++ b/crates/e2e/tests/handover.rs
@@ -16,7 +16,7 @@
 
 /// A site of seven proxies of which one holds the connections; returns it and one that does not.
 async fn site(name: &str) -> (Site, usize, usize) {
-    let site = Site::start_limited(name, 7, FEW, &[]).await;
+    let site = Site::start_with_max_connections(name, 7, FEW, &[]).await;
     let owner = site.wait_for_owners(1).await[0];
     let other = (owner + 1) % 7;
     (site, owner, other)
@@ -243,7 +243,7 @@
 /// before it knows the others: their first questions would be twelve connections to each server.
 #[tokio::test]
 async fn proxies_that_start_together_stay_within_the_connections() {
-    let site = Site::start_limited("together", 12, FEW, &[]).await;
+    let site = Site::start_with_max_connections("together", 12, FEW, &[]).await;
     site.wait_for_owners(1).await;
     let mut caller = site.caller(0, SESSION);
 
--- a/crates/e2e/tests/line_restarts.rs
+++ b/crates/e2e/tests/line_restarts.rs
@@ -18,7 +18,7 @@
     assert!(caller.query("PUT a kept").is_done());
 
     site.fault(1, "cut", true).await;
-    site.restart(1).await;
+    site.restart_empty(1).await;
     site.fault(0, "dead", true).await;
     tokio::time::sleep(FAILOVER_TIMEOUT).await;
     let promotions = site.group().await["promotions"].clone();
@@ -44,7 +44,7 @@
     }
 
     for server in [1, 2] {
-        site.restart(server).await;
+        site.restart_empty(server).await;
         for _ in 0..10 {
             assert_eq!(rows(&caller.query("FETCH a")), ["one"]);
         }
@@ -62,7 +62,7 @@
         assert_eq!(rows(&caller.query("FETCH a")), ["one"]);
     }
 
-    site.restart(0).await;
+    site.restart_empty(0).await;
     let until = std::time::Instant::now() + FAILOVER_TIMEOUT;
     let mut served = 0;
     while std::time::Instant::now() < until {
--- a/crates/e2e/tests/line_standin.rs
+++ b/crates/e2e/tests/line_standin.rs
@@ -177,7 +177,7 @@
     assert!(site.server(0).await.query("PUT a one").is_done());
 
     site.promote(1).await;
-    site.restart(1).await;
+    site.restart_empty(1).await;
     tokio::time::sleep(EFFECT + RECEIVED).await;
 
     assert_eq!(site.group().await["leader"], 0);
--- a/crates/e2e/tests/soak.rs
+++ b/crates/e2e/tests/soak.rs
@@ -62,7 +62,8 @@
         plan::restores(seed, &mut steps);
     }
     let name = format!("soak-{plan:?}-{store:?}-{seed}");
-    let site = Site::start_limited(&name, PROXIES, CONNECTIONS, plan.arguments()).await;
+    let site =
+        Site::start_with_max_connections(&name, PROXIES, CONNECTIONS, plan.arguments()).await;
     site.wait_for_owners(1).await;
     let listen = site.proxies.iter().map(|proxy| proxy.listen.clone());
     let shared = Arc::new(Shared::new(listen.collect()));
--- a/crates/e2e/tests/soak/stage.rs
+++ b/crates/e2e/tests/soak/stage.rs
@@ -84,7 +84,7 @@
             (Fault::ServerSilent(server), _) => site.fault(server, "silent", begins).await,
             (Fault::ServerCut(server), _) => site.fault(server, "cut", begins).await,
             (Fault::ServerDeaf(server), _) => site.fault(server, "deaf", begins).await,
-            (Fault::ServerReborn(server), true) => site.restart(server).await,
+            (Fault::ServerReborn(server), true) => site.restart_empty(server).await,
             (Fault::StoreDown, _) => site.store_fault("down", begins).await,
             (Fault::StoreRestored(_), true) => site.store_fault("down", true).await,
             (Fault::StoreRestored(age), false) => {
@@ -132,7 +132,7 @@
             Trouble::Leaving => site.fault(server, "leaving", begins).await,
             Trouble::Busy => site.fault(server, "busy", begins).await,
             Trouble::Crowded => site.fault(server, "crowded", begins).await,
-            Trouble::Emptied if begins => site.restart(server).await,
+            Trouble::Emptied if begins => site.restart_empty(server).await,
             Trouble::Emptied => {}
         }
     }
