--- a/crates/e2e/tests/soak/caller.rs
+++ b/crates/e2e/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! The callers of a soak: they write and read without rest and note what they hear.
+//! The callers of a soak test. They write and read continuously, and record every reply.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,99 +14,103 @@
     plan::PROXIES,
 };
 
-/// Callers; each writes an item of its own.
+/// Number of callers. Each writes to items of its own.
 pub const CALLERS: usize = 8;
 
-/// What the callers share.
+/// State shared by the callers and the test.
 pub struct Shared {
-    listen: Mutex<Vec<String>>,
+    /// The listen address of each proxy.
+    addrs: Mutex<Vec<String>>,
     stop: AtomicBool,
-    /// The number of the last write of each item that its writer heard was kept.
-    kept: Vec<AtomicU64>,
-    /// Writes, by caller and number, that may take effect at any later time.
+    /// The number of the last acknowledged write of each caller.
+    acked: Vec<AtomicU64>,
+    /// Writes of unknown outcome, by caller and number. They may take effect at any later time.
     unknown: Mutex<BTreeSet<(usize, u64)>>,
-    broken: Mutex<Vec<String>>,
+    violations: Mutex<Vec<String>>,
     statements: AtomicU64,
 }
 
 impl Shared {
-    /// What callers of proxies at these addresses share.
-    pub fn new(listen: Vec<String>) -> Self {
+    /// The initial state for proxies that listen on these addresses.
+    pub fn new(addrs: Vec<String>) -> Self {
         Self {
-            listen: Mutex::new(listen),
+            addrs: Mutex::new(addrs),
             stop: AtomicBool::new(false),
-            kept: (0..CALLERS).map(|_| AtomicU64::new(0)).collect(),
+            acked: (0..CALLERS).map(|_| AtomicU64::new(0)).collect(),
             unknown: Mutex::default(),
-            broken: Mutex::default(),
+            violations: Mutex::default(),
             statements: AtomicU64::new(0),
         }
     }
 
-    /// Notes where a proxy listens after it has started again.
-    pub fn moved(&self, proxy: usize, listen: String) {
-        self.listen.lock().expect("no holder panics")[proxy] = listen;
+    /// Sets the address of a proxy, which changes when it restarts.
+    pub fn set_address(&self, proxy: usize, addr: String) {
+        self.addrs.lock().expect("lock is not poisoned")[proxy] = addr;
     }
 
-    /// Tells the callers to stop.
+    /// Makes the callers stop before their next write.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::SeqCst);
     }
 
-    /// What the callers found broken.
-    pub fn broken(&self) -> Vec<String> {
-        std::mem::take(&mut *self.broken.lock().expect("no holder panics"))
+    /// Takes the violations that callers have reported.
+    pub fn take_violations(&self) -> Vec<String> {
+        std::mem::take(&mut *self.violations.lock().expect("lock is not poisoned"))
     }
 
-    /// How many statements were sent.
+    /// Number of writes and answered reads. A transaction counts as one write.
     pub fn statements(&self) -> u64 {
         self.statements.load(Ordering::Relaxed)
     }
 
     /// The writes of unknown outcome, by caller and number.
     pub fn unknown(&self) -> BTreeSet<(usize, u64)> {
-        self.unknown.lock().expect("no holder panics").clone()
+        self.unknown.lock().expect("lock is not poisoned").clone()
     }
 
     fn address(&self, proxy: usize) -> String {
-        self.listen.lock().expect("no holder panics")[proxy].clone()
+        self.addrs.lock().expect("lock is not poisoned")[proxy].clone()
     }
 
-    fn may_come_late(&self, caller: usize, number: u64) -> bool {
-        let unknown = self.unknown.lock().expect("no holder panics");
+    fn may_apply_late(&self, caller: usize, number: u64) -> bool {
+        let unknown = self.unknown.lock().expect("lock is not poisoned");
         unknown.contains(&(caller, number))
     }
 
-    fn break_rule(&self, what: String) {
-        self.broken.lock().expect("no holder panics").push(what);
+    fn report_violation(&self, description: String) {
+        self.violations
+            .lock()
+            .expect("lock is not poisoned")
+            .push(description);
     }
 }
 
-/// What became of a write, as its caller heard.
+/// The outcome of a write, as its caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Kept,
+    Acked,
     NotRun,
     Unknown,
 }
 
-/// What the caller of a write heard, and when, in Unix microseconds.
+/// The reply to a write, and the Unix time in microseconds at which its caller received it.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct Reply {
     pub outcome: Outcome,
     pub at_us: u64,
 }
 
-impl Heard {
+impl Reply {
     fn now(outcome: Outcome) -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH);
-        let at_us = since.expect("the clock is past 1970").as_micros() as u64;
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let at_us = since_epoch.expect("the clock is past 1970").as_micros() as u64;
         Self { outcome, at_us }
     }
 }
 
 fn outcome(answer: Option<&Answer>) -> Outcome {
     match answer {
-        Some(answer) if answer.is_done() => Outcome::Kept,
+        Some(answer) if answer.is_done() => Outcome::Acked,
         Some(answer) => match answer.code() {
             "BUSY" | "ABORTED" | "LAGGING" | "READONLY" | "MOVED" | "MAXCONN" => Outcome::NotRun,
             _ => Outcome::Unknown,
@@ -115,13 +119,14 @@
     }
 }
 
-/// One caller: writes its item alone and in transactions, reads its own and its neighbour's.
-pub fn call(index: usize, shared: &Shared) -> BTreeMap<u64, Heard> {
+/// Runs one caller until it is stopped. It writes its items in single statements and in transactions,
+/// and reads its own item and its neighbour's. Returns the replies by the number of the write.
+pub fn run(index: usize, shared: &Shared) -> BTreeMap<u64, Reply> {
     let database = match index % 2 {
         0 => LATEST,
         _ => SESSION,
     };
-    let mut outcomes = BTreeMap::new();
+    let mut replies = BTreeMap::new();
     let mut proxy = index % PROXIES;
     let mut caller = None;
     for number in 1.. {
@@ -143,27 +148,27 @@
                 (outcome(answer.as_ref()), answer.is_none())
             }
         };
-        outcomes.insert(number, Heard::now(result));
+        replies.insert(number, Reply::now(result));
         shared.statements.fetch_add(1, Ordering::Relaxed);
         if result == Outcome::Unknown {
-            let mut unknown = shared.unknown.lock().expect("no holder panics");
+            let mut unknown = shared.unknown.lock().expect("lock is not poisoned");
             unknown.insert((index, number));
         }
-        if result == Outcome::Kept {
-            shared.kept[index].store(number, Ordering::SeqCst);
+        if result == Outcome::Acked {
+            shared.acked[index].store(number, Ordering::SeqCst);
         }
-        if ended || !read_back(open, index, database, shared) {
+        if ended || !check_reads(open, index, database, shared) {
             caller = None;
         }
     }
-    outcomes
+    replies
 }
 
-/// Two writes that belong together; whether the connection ended.
+/// Writes two items in one transaction; returns the outcome and whether the connection has ended.
 fn write_in_transaction(caller: &mut Caller, index: usize, number: u64) -> (Outcome, bool) {
     let begin = caller.try_query("BEGIN");
-    if outcome(begin.as_ref()) != Outcome::Kept {
-        // Nothing was asked for yet.
+    if outcome(begin.as_ref()) != Outcome::Acked {
+        // No write has been sent yet.
         return (Outcome::NotRun, begin.is_none());
     }
     for text in [
@@ -171,8 +176,9 @@
         format!("PUT twin{index} {number}"),
     ] {
         let answer = caller.try_query(&text);
-        if outcome(answer.as_ref()) != Outcome::Kept {
-            // Without its COMMIT nothing of it may be kept, whatever became of this statement.
+        if outcome(answer.as_ref()) != Outcome::Acked {
+            // Without a COMMIT no write of the transaction may take effect, whatever the outcome of
+            // this statement.
             let ended = answer.is_none() || caller.try_query("ROLLBACK").is_none();
             return (Outcome::NotRun, ended);
         }
@@ -183,16 +189,16 @@
     (outcome(commit.as_ref()), ended)
 }
 
-/// Reads the caller's own item and, where every commit must be seen, its neighbour's; `false` when the
-/// connection has ended.
-fn read_back(caller: &mut Caller, index: usize, database: &str, shared: &Shared) -> bool {
+/// Reads the caller's own item and, on a database with linearizable reads, its neighbour's, and reports
+/// stale reads. Returns `false` if the connection has ended.
+fn check_reads(caller: &mut Caller, index: usize, database: &str, shared: &Shared) -> bool {
     let neighbour = (index + 1) % CALLERS;
     let items = match database {
         LATEST => vec![index, neighbour],
         _ => vec![index],
     };
     for item in items {
-        let at_least = shared.kept[item].load(Ordering::SeqCst);
+        let at_least = shared.acked[item].load(Ordering::SeqCst);
         let Some(answer) = caller.try_query(&format!("FETCH own{item}")) else {
             return false;
         };
@@ -206,10 +212,10 @@
             .and_then(|row| row.parse().ok())
             .unwrap_or(0);
         let own_session = item == index && database == SESSION;
-        let older = seen < at_least && !shared.may_come_late(item, seen);
-        if older && (database == LATEST || own_session) {
-            shared.break_rule(format!(
-                "caller {index} read {seen} of own{item} after {at_least} was kept: {answer:?}"
+        let stale = seen < at_least && !shared.may_apply_late(item, seen);
+        if stale && (database == LATEST || own_session) {
+            shared.report_violation(format!(
+                "caller {index} read {seen} of own{item} after {at_least} was acknowledged: {answer:?}"
             ));
         }
     }
--- a/crates/e2e/tests/soak/check.rs
+++ b/crates/e2e/tests/soak/check.rs
@@ -1,4 +1,4 @@
-//! What callers heard, held against the servers' logs.
+//! Checks the answers that callers received against the servers' logs.
 
 use std::{
     collections::BTreeMap,
@@ -9,11 +9,11 @@
 use tokio::time::sleep;
 
 use super::{
-    caller::{Heard, Outcome},
+    caller::{Outcome, Reply},
     fixture::line::Site,
 };
 
-/// How often each item's data stands in a log.
+/// Number of entries in a log by item and data.
 struct Log(BTreeMap<(String, String), usize>);
 
 impl Log {
@@ -32,15 +32,15 @@
     }
 }
 
-/// How long a failover that the last fault brought about may go on after all proxies served again: its
-/// attempt, the wait and the time until it takes effect, twice.
-const LED_WITHIN: Duration = Duration::from_secs(3);
+/// Time limit of a failover that is still in progress when all proxies serve writes again: twice its
+/// attempt, the wait before the promotion call, and the time until the promotion takes effect.
+const PRIMARY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The group once somebody leads. The old primary may have just stepped down for a failover: until the next
-/// leads there is no log to hold anything against.
-async fn led(site: &Site) -> Option<Value> {
-    let begun = Instant::now();
-    while begun.elapsed() < LED_WITHIN {
+/// Waits for a primary and returns the group's state. Without a primary, for example while a failover
+/// has made the old one step down, there is no log to check.
+async fn wait_for_primary(site: &Site) -> Option<Value> {
+    let started_at = Instant::now();
+    while started_at.elapsed() < PRIMARY_TIMEOUT {
         let group = site.group().await;
         if group["leader"].is_u64() {
             return Some(group);
@@ -50,51 +50,52 @@
     None
 }
 
-/// Holds what callers heard against the log of the server that leads in the end, and against that of each
-/// server that was promoted.
-pub async fn compare(site: &Site, heard: &[BTreeMap<u64, Heard>]) -> Vec<String> {
-    let Some(group) = led(site).await else {
-        return vec![format!("nobody leads within {LED_WITHIN:?}")];
+/// Checks the callers' replies against the log of the final primary and, for acknowledged writes, the
+/// log of every promoted server at its promotion. Returns a description of each violation.
+pub async fn find_violations(site: &Site, replies: &[BTreeMap<u64, Reply>]) -> Vec<String> {
+    let Some(group) = wait_for_primary(site).await else {
+        return vec![format!("no primary within {PRIMARY_TIMEOUT:?}")];
     };
-    let mut broken = lost_by_promotions(site, heard).await;
+    let mut violations = lost_by_promotions(site, replies).await;
     let log = Log::new(&group["log"]);
-    for (index, heard) in heard.iter().enumerate() {
-        for (number, Heard { outcome, .. }) in heard {
+    for (index, replies) in replies.iter().enumerate() {
+        for (number, Reply { outcome, .. }) in replies {
             let own = log.count(format!("own{index}"), *number);
             let twin = log.count(format!("twin{index}"), *number);
-            let right = match outcome {
-                Outcome::Kept => own == 1,
+            let is_valid = match outcome {
+                Outcome::Acked => own == 1,
                 Outcome::NotRun => own == 0,
                 Outcome::Unknown => own <= 1,
             };
-            if !right || (number % 3 == 0 && twin != own) {
-                broken.push(format!(
-                    "write {number} of caller {index}, {outcome:?}: {own} and {twin} times in the log"
+            if !is_valid || (number % 3 == 0 && twin != own) {
+                violations.push(format!(
+                    "write {number} of caller {index}, {outcome:?}: own item {own} times, twin item \
+                     {twin} times in the log"
                 ));
             }
         }
     }
-    broken
+    violations
 }
 
-/// The writes that callers heard were kept before a promotion took effect, and that the server promoted
-/// lacked. A later promotion may bring such a write back, so the last log does not show it.
-async fn lost_by_promotions(site: &Site, heard: &[BTreeMap<u64, Heard>]) -> Vec<String> {
+/// Finds writes that were acknowledged before a promotion took effect and that the promoted server
+/// lacks. The final log does not show all of them, as a later promotion may bring such a write back.
+async fn lost_by_promotions(site: &Site, replies: &[BTreeMap<u64, Reply>]) -> Vec<String> {
     let promotions = site.promotions().await;
     let mut lost = Vec::new();
     for promotion in promotions.as_array().into_iter().flatten() {
         let log = Log::new(&promotion["log"]);
         let at_us = promotion["at_us"].as_u64().unwrap_or_default();
-        for (index, heard) in heard.iter().enumerate() {
-            let before = heard
+        for (index, replies) in replies.iter().enumerate() {
+            let before = replies
                 .iter()
-                .filter(|(_, heard)| heard.outcome == Outcome::Kept && heard.at_us <= at_us);
-            for (number, heard) in before {
+                .filter(|(_, reply)| reply.outcome == Outcome::Acked && reply.at_us <= at_us);
+            for (number, reply) in before {
                 if log.count(format!("own{index}"), *number) == 0 {
                     lost.push(format!(
-                        "write {number} of caller {index}, kept {} us before, is not in the log of \
-                         server {} promoted for term {}",
-                        at_us - heard.at_us,
+                        "write {number} of caller {index}, acknowledged {} us before the promotion, is \
+                         not in the log of server {} promoted for term {}",
+                        at_us - reply.at_us,
                         promotion["server"],
                         promotion["term"]
                     ));
--- a/crates/e2e/tests/soak/plan.rs
+++ b/crates/e2e/tests/soak/plan.rs
@@ -1,77 +1,82 @@
-//! The faults of a soak, drawn from a seed: here those of which one at a time concerns a server.
+//! The faults of a soak test, drawn from a seed. In this plan, faults of servers do not overlap.
 
 use std::time::Duration;
 
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
-use super::series::{self, Place, Trouble};
+use super::series::{self, ServerFault, Target};
 
-/// How many proxies there are.
 pub const PROXIES: usize = 5;
 
-/// How many faults a seed draws, and within what time they begin.
-const FAULTS: usize = 7;
-const BEGIN_WITHIN: Duration = Duration::from_secs(9);
+const FAULT_COUNT: usize = 7;
 
-/// How long a fault lasts.
-const LASTS: std::ops::Range<u64> = 300..3_000;
+/// The time from the start of the callers in which faults begin.
+const START_WINDOW: Duration = Duration::from_secs(9);
+
+const FAULT_DURATION_MS: std::ops::Range<u64> = 300..3_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     ProxyKilled(usize),
     ProxyFrozen(usize),
+    /// The proxy shuts down gracefully.
     ProxyStopped(usize),
-    ServerDead(usize),
-    ServerSilent(usize),
-    ServerCut(usize),
-    ServerDeaf(usize),
-    ServerReborn(usize),
-    /// Drawn by [`series`] only.
-    Placed(Place, Trouble),
-    /// The server that is next promoted has little time from the call on, for as long as the fault lasts.
-    /// Drawn by [`series`] only.
-    HeirCrowded,
+    ServerStopped(usize),
+    ServerUnresponsive(usize),
+    /// The server cannot replicate to or from the others.
+    ServerPartitioned(usize),
+    /// The server receives no entries from the others.
+    ServerNotReplicating(usize),
+    /// The server restarts with an empty log.
+    ServerRestartedEmpty(usize),
+    /// A fault of a server chosen relative to the primary. Drawn by [`series`] only.
+    Targeted(Target, ServerFault),
+    /// The next server to be promoted is overloaded from the promotion call on, for the duration of the
+    /// fault. Drawn by [`series`] only.
+    NextPrimaryOverloaded,
     StoreDown,
-    StoreForgets,
-    /// The store is away, and comes back from a copy of this age. Drawn by [`restores`] only.
+    /// The store discards its change history.
+    StoreCompacted,
+    /// The store is down, and then restored from a snapshot of this age. Drawn by [`add_restores`] only.
     StoreRestored(Duration),
-    Configured,
+    /// A new version of the configuration is published.
+    ConfigurationPublished,
 }
 
 impl Fault {
-    fn draw(random: &mut StdRng) -> Self {
-        let (proxy, server) = (random.random_range(0..PROXIES), random.random_range(0..3));
-        match random.random_range(0..11) {
+    fn draw(rng: &mut StdRng) -> Self {
+        let (proxy, server) = (rng.random_range(0..PROXIES), rng.random_range(0..3));
+        match rng.random_range(0..11) {
             0 => Self::ProxyKilled(proxy),
             1 => Self::ProxyFrozen(proxy),
             2 => Self::ProxyStopped(proxy),
-            3 => Self::ServerDead(server),
-            4 => Self::ServerSilent(server),
-            5 => Self::ServerCut(server),
-            6 => Self::ServerDeaf(server),
-            7 => Self::ServerReborn(server),
+            3 => Self::ServerStopped(server),
+            4 => Self::ServerUnresponsive(server),
+            5 => Self::ServerPartitioned(server),
+            6 => Self::ServerNotReplicating(server),
+            7 => Self::ServerRestartedEmpty(server),
             8 => Self::StoreDown,
-            9 => Self::StoreForgets,
-            _ => Self::Configured,
+            9 => Self::StoreCompacted,
+            _ => Self::ConfigurationPublished,
         }
     }
 
-    /// Whether it concerns a server: two at once may take the only copies of a commit.
-    pub fn is_of_server(self) -> bool {
+    /// Whether this is a fault of a server. Two such faults at once could destroy all copies of a commit.
+    pub fn affects_server(self) -> bool {
         matches!(
             self,
-            Self::ServerDead(_)
-                | Self::ServerSilent(_)
-                | Self::ServerCut(_)
-                | Self::ServerDeaf(_)
-                | Self::ServerReborn(_)
-                | Self::Placed(..)
-                | Self::HeirCrowded
+            Self::ServerStopped(_)
+                | Self::ServerUnresponsive(_)
+                | Self::ServerPartitioned(_)
+                | Self::ServerNotReplicating(_)
+                | Self::ServerRestartedEmpty(_)
+                | Self::Targeted(..)
+                | Self::NextPrimaryOverloaded
         )
     }
 }
 
-/// A fault and when it begins and ends, from the start of the callers.
+/// A fault and its begin and end, measured from the start of the callers.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
     pub fault: Fault,
@@ -80,30 +85,31 @@
 }
 
 impl Step {
-    /// A fault that begins within `whole`, in milliseconds.
-    pub fn draw(random: &mut StdRng, whole: std::ops::Range<u64>) -> Self {
-        let begins = Duration::from_millis(random.random_range(whole));
-        let ends = begins + Duration::from_millis(random.random_range(LASTS));
+    /// Draws a fault that begins within `window_ms`.
+    pub fn draw(rng: &mut StdRng, window_ms: std::ops::Range<u64>) -> Self {
+        let begins = Duration::from_millis(rng.random_range(window_ms));
+        let ends = begins + Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
         Self {
-            fault: Fault::draw(random),
+            fault: Fault::draw(rng),
             begins,
             ends,
         }
     }
 }
 
-/// What a seed is played with. A seed that is kept as a test names its plan, so each plan goes on to draw
-/// what it drew when the seed was found.
+/// How the faults of a seed are drawn. Seeds are kept as regression tests, so a plan must always draw the
+/// same faults for the same seed.
 #[derive(Clone, Copy, Debug)]
 pub enum Plan {
-    /// One fault of a server at a time; a promotion is in effect when its call is answered.
+    /// At most one server has a fault at a time. A promotion is in effect when its call is answered.
     Single,
-    /// Faults of servers overlap and come in series; a promotion takes effect after its call.
+    /// Faults of servers overlap and cause series of failovers. A promotion takes effect some time after
+    /// its call.
     Series,
 }
 
 impl Plan {
-    /// The faults of a seed, in the order in which they begin.
+    /// Draws the faults of a seed, ordered by their begin.
     pub fn draw(self, seed: u64) -> Vec<Step> {
         match self {
             Self::Single => draw(seed),
@@ -111,9 +117,9 @@
         }
     }
 
-    /// The arguments of the stand-in. The platform's promotions take effect some hundred milliseconds after
-    /// the call, and an old primary goes on for a second after it has reached the new one.
-    pub fn arguments(self) -> &'static [&'static str] {
+    /// Arguments for the stand-in: when a promotion takes effect, and when an old primary that has reached
+    /// the new one steps down.
+    pub fn standin_arguments(self) -> &'static [&'static str] {
         match self {
             Self::Single => &[],
             Self::Series => &[
@@ -128,15 +134,15 @@
     }
 }
 
-/// How long a server needs after another's fault until it has everything again.
-const CATCH_UP: Duration = Duration::from_secs(2);
+/// Time for a server to receive all entries that it missed during a fault.
+const CATCH_UP_TIME: Duration = Duration::from_secs(2);
 
-/// The faults of a seed, in the order in which they begin.
+/// Draws the faults of [`Plan::Single`], ordered by their begin.
 fn draw(seed: u64) -> Vec<Step> {
-    let mut random = StdRng::seed_from_u64(seed);
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut steps: Vec<Step> = Vec::new();
-    while steps.len() < FAULTS {
-        let step = Step::draw(&mut random, 500..BEGIN_WITHIN.as_millis() as u64);
+    while steps.len() < FAULT_COUNT {
+        let step = Step::draw(&mut rng, 500..START_WINDOW.as_millis() as u64);
         if steps.iter().all(|other| compatible(&step, other)) {
             steps.push(step);
         }
@@ -145,7 +151,8 @@
     steps
 }
 
-/// Whether two faults may come in one run: one server at a time, and each proxy one thing at a time.
+/// Whether one seed may have both faults: faults of servers, of the same proxy and outages of the store
+/// must not overlap.
 pub fn compatible(a: &Step, b: &Step) -> bool {
     let apart = |gap: Duration| a.begins > b.ends + gap || b.begins > a.ends + gap;
     let proxy = |fault| match fault {
@@ -155,31 +162,31 @@
         _ => None,
     };
     let same_proxy = proxy(a.fault).is_some() && proxy(a.fault) == proxy(b.fault);
-    let servers = a.fault.is_of_server() && b.fault.is_of_server();
+    let servers = a.fault.affects_server() && b.fault.affects_server();
     let store = matches!(a.fault, Fault::StoreDown) && matches!(b.fault, Fault::StoreDown);
-    (!servers || apart(CATCH_UP))
-        && (!same_proxy || apart(CATCH_UP * 4))
-        && (!store || apart(CATCH_UP))
+    (!servers || apart(CATCH_UP_TIME))
+        && (!same_proxy || apart(CATCH_UP_TIME * 4))
+        && (!store || apart(CATCH_UP_TIME))
 }
 
-/// How many restores a seed draws at most.
-const MOST_RESTORES: usize = 2;
+const MAX_RESTORES: usize = 2;
+
+const SNAPSHOT_AGE_MS: std::ops::Range<u64> = 300..5_000;
 
-/// How old a copy is, in milliseconds, and how long the store is away before it comes back from it.
-const COPY_AGE: std::ops::Range<u64> = 300..5_000;
-const AWAY: std::ops::Range<u64> = 50..900;
+/// How long the store is down before a restore.
+const OUTAGE_MS: std::ops::Range<u64> = 50..900;
 
-/// Restores of the store for a seed whose faults are `steps`, with those put in their order. They are drawn
-/// apart from the faults, so that a seed draws the same faults with and without them.
-pub fn restores(seed: u64, steps: &mut Vec<Step>) {
-    let mut random = StdRng::seed_from_u64(!seed);
+/// Draws restores of the store and inserts them into `steps`, the faults of the same seed. They use a
+/// random generator of their own, so that a seed draws the same faults with and without restores.
+pub fn add_restores(seed: u64, steps: &mut Vec<Step>) {
+    let mut rng = StdRng::seed_from_u64(!seed);
     let last = steps.iter().map(|step| step.begins).max();
-    let whole = 500..last.unwrap_or(BEGIN_WITHIN).as_millis() as u64 + 1;
+    let window_ms = 500..last.unwrap_or(START_WINDOW).as_millis() as u64 + 1;
     let down = |step: &&Step| matches!(step.fault, Fault::StoreDown | Fault::StoreRestored(_));
-    for _ in 0..random.random_range(1..=MOST_RESTORES) {
-        let age = Duration::from_millis(random.random_range(COPY_AGE));
-        let begins = Duration::from_millis(random.random_range(whole.clone()));
-        let ends = begins + Duration::from_millis(random.random_range(AWAY));
+    for _ in 0..rng.random_range(1..=MAX_RESTORES) {
+        let age = Duration::from_millis(rng.random_range(SNAPSHOT_AGE_MS));
+        let begins = Duration::from_millis(rng.random_range(window_ms.clone()));
+        let ends = begins + Duration::from_millis(rng.random_range(OUTAGE_MS));
         let apart = |step: &Step| begins > step.ends || step.begins > ends;
         if steps.iter().filter(down).all(apart) {
             steps.push(Step {
--- a/crates/e2e/tests/soak/series.rs
+++ b/crates/e2e/tests/soak/series.rs
@@ -1,7 +1,8 @@
-//! The faults of a soak in which server faults overlap and come in series, drawn from a seed.
+//! The faults of a soak test in which faults of servers overlap and cause series of failovers, drawn from a
+//! seed.
 //!
-//! A server is named by how it stands to the one that leads when its fault begins: failovers in a row then
-//! meet the server that was just promoted, whichever it is.
+//! A fault names its server relative to the primary at the time the fault begins, so that a second failover
+//! affects the server that has just been promoted.
 
 use std::time::Duration;
 
@@ -9,135 +10,144 @@
 
 use super::plan::{compatible, Fault, Step};
 
-/// How many series of failovers a seed draws, and how long one lasts until the next begins.
-const SERIES: u64 = 3;
-const SERIES_LASTS: u64 = 3_800;
+const SERIES_COUNT: u64 = 3;
 
-/// How long after a failover's cause the next one comes: before, while and after the first takes effect.
-const NEXT_CAUSE: std::ops::Range<u64> = 300..2_600;
+/// Time from the begin of one series to that of the next.
+const SERIES_DURATION_MS: u64 = 3_800;
 
-/// How likely the server that is promoted has little time from the call on, and for how long. The promoter
-/// looks again 1.2 s after its call.
-const HEIR_IS_CROWDED: f64 = 0.6;
-const HEIR_CROWDED_FOR: std::ops::Range<u64> = 1_000..3_500;
+/// Time from the cause of the first failover of a series to that of the second, which comes before, while or
+/// after the first takes effect.
+const SECOND_FAILOVER_DELAY_MS: std::ops::Range<u64> = 300..2_600;
 
-/// How many other troubles a series has, and within what time of its beginning.
-const TROUBLES: std::ops::RangeInclusive<usize> = 1..=4;
-const TROUBLES_WITHIN: std::ops::Range<u64> = 0..2_800;
+/// Probability that the server of a promotion call is overloaded from that call on.
+const OVERLOAD_PROBABILITY: f64 = 0.6;
 
-/// How many faults of proxies and the store a seed draws.
-const OTHERS: usize = 2;
+/// May end before or after the failover leader checks the promoted server again.
+const OVERLOAD_DURATION_MS: std::ops::Range<u64> = 1_000..3_500;
 
-/// A server, by its place in the ring that begins with the one that leads.
+/// Number of server faults in a series besides the causes of its failovers.
+const CONCURRENT_FAULTS: std::ops::RangeInclusive<usize> = 1..=4;
+
+/// Time from the begin of a series to the begin of such a fault.
+const CONCURRENT_FAULT_DELAY_MS: std::ops::Range<u64> = 0..2_800;
+
+/// Number of faults that affect no server.
+const OTHER_FAULTS: usize = 2;
+
+/// A server, by its position in the ring of servers that begins with the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    Leader,
+pub enum Target {
+    Primary,
     Next,
     Last,
 }
 
-impl Place {
-    fn draw(random: &mut StdRng) -> Self {
-        match random.random_range(0..3) {
-            0 => Self::Leader,
+impl Target {
+    fn draw(rng: &mut StdRng) -> Self {
+        match rng.random_range(0..3) {
+            0 => Self::Primary,
             1 => Self::Next,
             _ => Self::Last,
         }
     }
 }
 
-/// What happens to it.
+/// A fault of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// It crashes and comes back with its log; its registration stays.
+pub enum ServerFault {
+    /// Crashes, keeps its registration, and restarts with its log.
     Crashed,
-    /// The same, and its registration lapses meanwhile.
-    Dead,
-    Silent,
-    Cut,
-    /// It exchanges nothing with the next server of the ring.
-    CutFromNext,
-    Deaf,
-    Leaving,
+    /// As `Crashed`, but loses its registration until the restart.
+    CrashedUnregistered,
+    Unresponsive,
+    /// Cannot replicate to or from the others.
+    Partitioned,
+    /// Cannot replicate to or from the next server of the ring.
+    PartitionedFromNext,
+    /// Receives no entries from the others.
+    NotReplicating,
+    Draining,
+    /// Rejects all statements and control commands.
     Busy,
-    Crowded,
-    /// It starts again with an empty log.
-    Emptied,
+    /// Rejects most statements and control commands.
+    Overloaded,
+    /// Restarts with an empty log.
+    RestartedEmpty,
 }
 
-impl Trouble {
-    /// One that has the primary replaced, and how long it lasts.
-    fn draw_cause(random: &mut StdRng) -> (Self, u64) {
-        match random.random_range(0..6) {
-            0 => (Self::Crashed, random.random_range(50..3_000)),
-            1 => (Self::Dead, random.random_range(300..3_000)),
-            2 => (Self::Silent, random.random_range(500..3_000)),
-            3 => (Self::Cut, random.random_range(500..3_000)),
-            _ => (Self::Leaving, random.random_range(800..3_000)),
+impl ServerFault {
+    /// Draws a fault that causes a failover, and its duration in milliseconds.
+    fn draw_failover_cause(rng: &mut StdRng) -> (Self, u64) {
+        match rng.random_range(0..6) {
+            0 => (Self::Crashed, rng.random_range(50..3_000)),
+            1 => (Self::CrashedUnregistered, rng.random_range(300..3_000)),
+            2 => (Self::Unresponsive, rng.random_range(500..3_000)),
+            3 => (Self::Partitioned, rng.random_range(500..3_000)),
+            _ => (Self::Draining, rng.random_range(800..3_000)),
         }
     }
 
-    /// One that meets a failover, and how long it lasts.
-    fn draw_meanwhile(random: &mut StdRng) -> (Self, u64) {
-        match random.random_range(0..7) {
-            0 | 1 => (Self::Crashed, random.random_range(10..120)),
-            2 => (Self::CutFromNext, random.random_range(300..3_000)),
-            3 => (Self::Deaf, random.random_range(100..1_500)),
-            4 => (Self::Busy, random.random_range(300..2_200)),
-            5 => (Self::Crowded, random.random_range(500..3_000)),
-            _ => (Self::Silent, random.random_range(200..1_500)),
+    /// Draws a fault to coincide with a failover, and its duration in milliseconds.
+    fn draw_concurrent(rng: &mut StdRng) -> (Self, u64) {
+        match rng.random_range(0..7) {
+            0 | 1 => (Self::Crashed, rng.random_range(10..120)),
+            2 => (Self::PartitionedFromNext, rng.random_range(300..3_000)),
+            3 => (Self::NotReplicating, rng.random_range(100..1_500)),
+            4 => (Self::Busy, rng.random_range(300..2_200)),
+            5 => (Self::Overloaded, rng.random_range(500..3_000)),
+            _ => (Self::Unresponsive, rng.random_range(200..1_500)),
         }
     }
 }
 
-fn step(place: Place, (trouble, lasts): (Trouble, u64), begins: u64) -> Step {
+fn step(target: Target, (fault, duration_ms): (ServerFault, u64), begins: u64) -> Step {
     Step {
-        fault: Fault::Placed(place, trouble),
+        fault: Fault::Targeted(target, fault),
         begins: Duration::from_millis(begins),
-        ends: Duration::from_millis(begins + lasts),
+        ends: Duration::from_millis(begins + duration_ms),
     }
 }
 
-/// The faults of a seed, in the order in which they begin.
+/// Draws the faults of a seed, ordered by their begin.
 ///
-/// At most one log is emptied: a commit that callers were told is kept is on two servers, so it is never
-/// truly gone, and no loss is excused.
+/// At most one server loses its log. Acknowledged commits are on two servers, so one copy always remains and
+/// every lost commit is a violation.
 pub fn draw(seed: u64) -> Vec<Step> {
-    let mut random = StdRng::seed_from_u64(seed);
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut steps = Vec::new();
-    for series in 0..SERIES {
-        let begins = 500 + series * SERIES_LASTS + random.random_range(0..600);
-        let next = begins + random.random_range(NEXT_CAUSE);
+    for series in 0..SERIES_COUNT {
+        let begins = 500 + series * SERIES_DURATION_MS + rng.random_range(0..600);
+        let next = begins + rng.random_range(SECOND_FAILOVER_DELAY_MS);
         for cause in [begins, next] {
-            let trouble = Trouble::draw_cause(&mut random);
-            steps.push(step(Place::Leader, trouble, cause));
+            let fault = ServerFault::draw_failover_cause(&mut rng);
+            steps.push(step(Target::Primary, fault, cause));
         }
-        if random.random_bool(HEIR_IS_CROWDED) {
-            let lasts = random.random_range(HEIR_CROWDED_FOR);
+        if rng.random_bool(OVERLOAD_PROBABILITY) {
+            let duration_ms = rng.random_range(OVERLOAD_DURATION_MS);
             steps.push(Step {
-                fault: Fault::HeirCrowded,
+                fault: Fault::NextPrimaryOverloaded,
                 begins: Duration::from_millis(begins),
-                ends: Duration::from_millis(begins + lasts),
+                ends: Duration::from_millis(begins + duration_ms),
             });
         }
-        for _ in 0..random.random_range(TROUBLES) {
-            let at = begins + random.random_range(TROUBLES_WITHIN);
-            let place = Place::draw(&mut random);
-            let trouble = Trouble::draw_meanwhile(&mut random);
-            steps.push(step(place, trouble, at));
+        for _ in 0..rng.random_range(CONCURRENT_FAULTS) {
+            let at = begins + rng.random_range(CONCURRENT_FAULT_DELAY_MS);
+            let target = Target::draw(&mut rng);
+            let fault = ServerFault::draw_concurrent(&mut rng);
+            steps.push(step(target, fault, at));
         }
     }
-    let whole = 500..SERIES * SERIES_LASTS;
-    if random.random_bool(0.5) {
-        let at = random.random_range(whole.clone());
-        let place = Place::draw(&mut random);
-        steps.push(step(place, (Trouble::Emptied, 0), at));
+    let window_ms = 500..SERIES_COUNT * SERIES_DURATION_MS;
+    if rng.random_bool(0.5) {
+        let at = rng.random_range(window_ms.clone());
+        let target = Target::draw(&mut rng);
+        steps.push(step(target, (ServerFault::RestartedEmpty, 0), at));
     }
     let mut others: Vec<Step> = Vec::new();
-    while others.len() < OTHERS {
-        let other = Step::draw(&mut random, whole.clone());
+    while others.len() < OTHER_FAULTS {
+        let other = Step::draw(&mut rng, window_ms.clone());
         let alone = others.iter().all(|one| compatible(&other, one));
-        if !other.fault.is_of_server() && alone {
+        if !other.fault.affects_server() && alone {
             others.push(other);
         }
     }
