--- a/crates/e2e/tests/soak/plan.rs
+++ b/crates/e2e/tests/soak/plan.rs
@@ -1,4 +1,5 @@
-//! The faults of a soak test, drawn from a seed. In this plan, faults of servers do not overlap.
+//! The plans of a soak test, which draw faults from a seed, and the plan in which faults of servers do not
+//! overlap.
 
 use std::time::Duration;
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// A fault and its begin and end, measured from the start of the callers.
+/// A fault, and when it begins and ends, measured from the start of the callers.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
     pub fault: Fault,
@@ -109,7 +110,7 @@
 }
 
 impl Plan {
-    /// Draws the faults of a seed, ordered by their begin.
+    /// Draws the faults of a seed, ordered by when they begin.
     pub fn draw(self, seed: u64) -> Vec<Step> {
         match self {
             Self::Single => draw(seed),
@@ -134,16 +135,16 @@
     }
 }
 
-/// Time for a server to receive all entries that it missed during a fault.
+/// Pause between two faults in which a server receives all entries that it missed.
 const CATCH_UP_TIME: Duration = Duration::from_secs(2);
 
-/// Draws the faults of [`Plan::Single`], ordered by their begin.
+/// Draws the faults of [`Plan::Single`], ordered by when they begin.
 fn draw(seed: u64) -> Vec<Step> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut steps: Vec<Step> = Vec::new();
     while steps.len() < FAULT_COUNT {
         let step = Step::draw(&mut rng, 500..START_WINDOW.as_millis() as u64);
-        if steps.iter().all(|other| compatible(&step, other)) {
+        if steps.iter().all(|other| are_compatible(&step, other)) {
             steps.push(step);
         }
     }
@@ -153,7 +154,7 @@
 
 /// Whether one seed may have both faults: faults of servers, of the same proxy and outages of the store
 /// must not overlap.
-pub fn compatible(a: &Step, b: &Step) -> bool {
+pub fn are_compatible(a: &Step, b: &Step) -> bool {
     let apart = |gap: Duration| a.begins > b.ends + gap || b.begins > a.ends + gap;
     let proxy = |fault| match fault {
         Fault::ProxyKilled(proxy) | Fault::ProxyFrozen(proxy) | Fault::ProxyStopped(proxy) => {
--- a/crates/e2e/tests/soak/series.rs
+++ b/crates/e2e/tests/soak/series.rs
@@ -8,11 +8,11 @@
 
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
-use super::plan::{compatible, Fault, Step};
+use super::plan::{are_compatible, Fault, Step};
 
 const SERIES_COUNT: u64 = 3;
 
-/// Time from the begin of one series to that of the next.
+/// Time between the starts of two series.
 const SERIES_DURATION_MS: u64 = 3_800;
 
 /// Time from the cause of the first failover of a series to that of the second, which comes before, while or
@@ -28,7 +28,7 @@
 /// Number of server faults in a series besides the causes of its failovers.
 const CONCURRENT_FAULTS: std::ops::RangeInclusive<usize> = 1..=4;
 
-/// Time from the begin of a series to the begin of such a fault.
+/// Time from the start of a series to such a fault.
 const CONCURRENT_FAULT_DELAY_MS: std::ops::Range<u64> = 0..2_800;
 
 /// Number of faults that affect no server.
@@ -108,7 +108,7 @@
     }
 }
 
-/// Draws the faults of a seed, ordered by their begin.
+/// Draws the faults of a seed, ordered by when they begin.
 ///
 /// At most one server loses its log. Acknowledged commits are on two servers, so one copy always remains and
 /// every lost commit is a violation.
@@ -146,7 +146,7 @@
     let mut others: Vec<Step> = Vec::new();
     while others.len() < OTHER_FAULTS {
         let other = Step::draw(&mut rng, window_ms.clone());
-        let alone = others.iter().all(|one| compatible(&other, one));
+        let alone = others.iter().all(|one| are_compatible(&other, one));
         if !other.fault.affects_server() && alone {
             others.push(other);
         }
