--- a/crates/e2e/benches/data_path.rs
+++ b/crates/e2e/benches/data_path.rs
@@ -1,5 +1,5 @@
-//! What the data path costs a proxy: memory per open session, and processor time per statement.
-//! Bounded in sessions and statements; fails when a slope passes its regression bound.
+//! Measures the resource use of a proxy: memory per open session and CPU time per statement. Fails if
+//! a value exceeds its regression bound.
 //!
 //! Run with `cargo bench -p dandelionpitch-e2e --bench data_path`.
 
@@ -8,20 +8,19 @@
 
 use fixture::{connect, Process, Site};
 
-/// Open sessions at which memory is read.
-const SESSIONS: [usize; 3] = [100, 500, 1000];
-/// Callers that run statements at the same time, and statements of each.
+/// Numbers of open sessions at which memory is measured.
+const SESSION_COUNTS: [usize; 3] = [100, 500, 1000];
+/// Callers that run statements concurrently.
 const CALLERS: usize = 16;
-const STATEMENTS: usize = 1000;
-/// Regression bounds: memory per session, processor time per read and per write.
+const STATEMENTS_PER_CALLER: usize = 1000;
 const SESSION_KB_BOUND: f64 = 40.0;
 const READ_US_BOUND: f64 = 150.0;
 const WRITE_US_BOUND: f64 = 200.0;
-/// Clock ticks a second in `/proc/<pid>/stat`, on Linux.
-const TICKS: f64 = 100.0;
+/// The unit of CPU times in `/proc/<pid>/stat` on Linux.
+const CLOCK_TICKS_PER_SEC: f64 = 100.0;
 
-/// Resident memory, in KB.
-fn resident(process: &Process) -> f64 {
+/// Resident memory of the process, in KB.
+fn resident_kb(process: &Process) -> f64 {
     let path = format!("/proc/{}/status", process.pid());
     let status = std::fs::read_to_string(path).expect("the process runs");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -29,8 +28,8 @@
     field.expect("a resident size").parse().expect("a number")
 }
 
-/// Processor time used so far, in microseconds.
-fn processor(process: &Process) -> f64 {
+/// User and system CPU time of the process, in microseconds.
+fn cpu_time_us(process: &Process) -> f64 {
     let path = format!("/proc/{}/stat", process.pid());
     let stat = std::fs::read_to_string(path).expect("the process runs");
     let fields = stat.rsplit(')').next().expect("a stat line");
@@ -39,40 +38,41 @@
         .iter()
         .map(|&i| fields[i].parse::<f64>().unwrap())
         .sum();
-    ticks / TICKS * 1e6
+    ticks / CLOCK_TICKS_PER_SEC * 1e6
 }
 
-/// KB a session, from the least to the most open sessions.
-async fn memory(site: &Site) -> f64 {
+/// Memory per session in KB: the growth from the lowest to the highest number of sessions, divided by
+/// the number of sessions in between.
+async fn kb_per_session(site: &Site) -> f64 {
     let proxy = &site.proxies[0];
     let mut open = Vec::new();
     let mut readings = Vec::new();
-    for count in SESSIONS {
+    for count in SESSION_COUNTS {
         while open.len() < count {
             let session = connect(proxy, "lookup", "").await;
             session.simple_query("SELECT 1").await.expect("runs");
             open.push(session);
         }
-        readings.push((count as f64, resident(&proxy.process)));
+        readings.push((count as f64, resident_kb(&proxy.process)));
         println!(
             "{count} sessions: {:.1} MB",
-            resident(&proxy.process) / 1024.0
+            resident_kb(&proxy.process) / 1024.0
         );
     }
     let (first, last) = (readings[0], readings[readings.len() - 1]);
     (last.1 - first.1) / (last.0 - first.0)
 }
 
-/// Microseconds of processor time a statement, over all callers; `text` makes the statement
-/// from the caller's and the statement's number.
-async fn time(site: &Site, user: &str, text: fn(usize, usize) -> String) -> f64 {
+/// CPU time of the proxy per statement, in microseconds. `text` returns the statement for the numbers
+/// of a caller and of a statement.
+async fn cpu_us_per_statement(site: &Site, user: &str, text: fn(usize, usize) -> String) -> f64 {
     let proxy = &site.proxies[0];
-    let before = processor(&proxy.process);
+    let before = cpu_time_us(&proxy.process);
     let mut callers = Vec::new();
     for caller in 0..CALLERS {
         let client = connect(proxy, user, "").await;
         callers.push(tokio::spawn(async move {
-            for number in 0..STATEMENTS {
+            for number in 0..STATEMENTS_PER_CALLER {
                 client
                     .simple_query(&text(caller, number))
                     .await
@@ -81,29 +81,32 @@
         }));
     }
     for caller in callers {
-        caller.await.expect("the caller ends");
+        caller.await.expect("the caller does not panic");
     }
-    (processor(&proxy.process) - before) / (CALLERS * STATEMENTS) as f64
+    (cpu_time_us(&proxy.process) - before) / (CALLERS * STATEMENTS_PER_CALLER) as f64
 }
 
 #[tokio::main]
 async fn main() {
     let site = Site::start("data-path", 1, 20).await;
-    let read = time(&site, "lookup", |_, _| {
+    let read = cpu_us_per_statement(&site, "lookup", |_, _| {
         "SELECT * FROM ledger WHERE id = 'style-1'".to_owned()
     })
     .await;
-    let write = time(&site, "member", |caller, number| {
+    let write = cpu_us_per_statement(&site, "member", |caller, number| {
         format!("INSERT INTO ledger (id, body) VALUES ('{caller}-{number}', 'x')")
     })
     .await;
-    let session = memory(&site).await;
+    let session = kb_per_session(&site).await;
 
-    println!("read {read:.0} us, write {write:.0} us of processor time");
+    println!("read {read:.0} us, write {write:.0} us of CPU time");
     println!("session {session:.1} KB");
     assert!(
         read <= READ_US_BOUND && write <= WRITE_US_BOUND,
-        "time past its bound"
+        "CPU time per statement exceeds its bound"
+    );
+    assert!(
+        session <= SESSION_KB_BOUND,
+        "memory per session exceeds its bound"
     );
-    assert!(session <= SESSION_KB_BOUND, "memory past its bound");
 }
--- a/crates/e2e/benches/failover.rs
+++ b/crates/e2e/benches/failover.rs
@@ -1,6 +1,6 @@
-//! Failover gap: how long no write is acknowledged when the primary is killed, and when it is
-//! cut off with its data centre while it still believes it leads. Bounded rounds, each on a
-//! site of its own; fails when a gap passes its regression bound or a promise is broken.
+//! Measures the longest time without an acknowledged write when the primary is killed, and when its
+//! data centre is partitioned while it still considers itself primary. Every round has a site of its
+//! own. Fails if a gap exceeds its regression bound or a guarantee is violated.
 //!
 //! Run with `cargo bench -p dandelionpitch-e2e --bench failover`.
 
@@ -16,43 +16,46 @@
 
 /// Rounds per kind of failure.
 const ROUNDS: usize = 5;
-/// How long writers write before the failure and after it.
-const BEFORE: Duration = Duration::from_millis(300);
-const AFTER: Duration = Duration::from_millis(2500);
-/// Regression bounds for the longest gap of all rounds.
+const WRITE_TIME_BEFORE_FAILURE: Duration = Duration::from_millis(300);
+const WRITE_TIME_AFTER_FAILURE: Duration = Duration::from_millis(2500);
 const KILLED_BOUND: Duration = Duration::from_secs(1);
-const CUT_BOUND: Duration = Duration::from_secs(2);
+const PARTITIONED_BOUND: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     Killed,
-    Cut,
+    Partitioned,
 }
 
-/// The gap seen by a writer through the proxy in the second data centre.
-async fn round(failure: Failure, index: usize) -> Duration {
+/// Runs one round; returns the longest gap of a writer through the proxy in the second data centre.
+async fn run_round(failure: Failure, index: usize) -> Duration {
     let name = format!("bench-{failure:?}-{index}");
     let site = Site::build(&Layout::new(&name, &["dc-1", "dc-2"])).await;
     let writer = Writer::start(&site.proxies[1], "w");
-    tokio::time::sleep(BEFORE).await;
+    tokio::time::sleep(WRITE_TIME_BEFORE_FAILURE).await;
     let since = Instant::now();
     match failure {
         Failure::Killed => site.fault(1, "kill", 0, "").await,
-        Failure::Cut => site.partition_dc("dc-1", 0, true).await,
+        Failure::Partitioned => site.partition_dc("dc-1", 0, true).await,
     }
-    tokio::time::sleep(AFTER).await;
+    tokio::time::sleep(WRITE_TIME_AFTER_FAILURE).await;
     let attempts = writer.stop().await;
     let record = site.primary_record().await.expect("a record");
     let rows = site.primary_rows(&record).await;
-    let broken = history::check(&attempts, &rows, None);
-    assert_eq!(broken, Violations::default(), "a promise was broken");
+    let violations = history::check(&attempts, &rows, None);
+    assert_eq!(
+        violations,
+        Violations::default(),
+        "a guarantee was violated"
+    );
     history::longest_gap(&attempts, since)
 }
 
-async fn rounds(failure: Failure, bound: Duration) -> bool {
+/// Runs all rounds with one kind of failure; returns whether the longest gap is within `bound`.
+async fn run_rounds(failure: Failure, bound: Duration) -> bool {
     let mut gaps = Vec::with_capacity(ROUNDS);
     for index in 0..ROUNDS {
-        gaps.push(round(failure, index).await);
+        gaps.push(run_round(failure, index).await);
     }
     gaps.sort();
     let (min, median, max) = (gaps[0], gaps[ROUNDS / 2], gaps[ROUNDS - 1]);
@@ -62,7 +65,7 @@
 
 #[tokio::main]
 async fn main() {
-    let killed = rounds(Failure::Killed, KILLED_BOUND).await;
-    let cut = rounds(Failure::Cut, CUT_BOUND).await;
-    assert!(killed && cut, "a failover gap is past its bound");
+    let killed = run_rounds(Failure::Killed, KILLED_BOUND).await;
+    let partitioned = run_rounds(Failure::Partitioned, PARTITIONED_BOUND).await;
+    assert!(killed && partitioned, "a failover gap exceeds its bound");
 }
