--- a/crates/e2e/tests/soak/check.rs
+++ b/crates/e2e/tests/soak/check.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Time limit of a failover that is still in progress when all proxies serve writes again: twice its
-/// attempt, the wait before the promotion call, and the time until the promotion takes effect.
+/// Time limit of a failover that is still in progress when all proxies serve writes again: twice the
+/// time for an attempt, the wait before the promotion call, and the promotion to take effect.
 const PRIMARY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Waits for a primary and returns the group's state. Without a primary, for example while a failover
