--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line.rs
@@ -28,7 +28,7 @@
 use tokio::{net::TcpListener, sync::watch, task::LocalSet};
 
 use self::{
-    control::{state::PeerPort, thread},
+    control::{state::PeerEndpoint, thread},
     shared::Shared,
     traffic::{origin::Origin, session},
     view::View,
@@ -54,7 +54,7 @@
         .map_err(Error::Listen)?;
     let listen = listener.local_addr().map_err(Error::Listen)?;
     let peers = listen_for_peers(&line).await?;
-    let peer = PeerPort {
+    let peer = PeerEndpoint {
         address: match &peers {
             Some(peers) => Some(peers.local_addr().map_err(Error::Listen)?),
             None => None,
@@ -76,12 +76,12 @@
         metrics: metrics.clone(),
         mirror: mirror.clone(),
     };
-    let links = thread::Links {
+    let channels = thread::Channels {
         publish,
         desk,
         mirror: mirror.clone(),
     };
-    let operator = thread::spawn(&config, &line, peer, links, endpoint)?;
+    let operator = thread::spawn(&config, &line, peer, channels, endpoint)?;
     let operator = operator
         .await
         .map_err(|_| Error::Listen(std::io::Error::other("operator endpoint did not start")))?;
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -47,7 +47,7 @@
 
 /// How this proxy takes statements of others.
 #[derive(Clone, Copy, Debug)]
-pub struct PeerPort {
+pub struct PeerEndpoint {
     pub address: Option<SocketAddr>,
     pub capacity: f64,
 }
@@ -59,7 +59,7 @@
     pub started: Moment,
     pub id: String,
     pub dc: String,
-    pub peer: PeerPort,
+    pub peer: PeerEndpoint,
     /// Within which a new configuration has to be in force.
     pub config_within: Duration,
     pub metrics: Metrics,
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -21,7 +21,7 @@
         clock,
         control::{
             duty, failover, follow, member,
-            state::{Control, PeerPort},
+            state::{Control, PeerEndpoint},
             testify,
         },
         journal,
@@ -33,7 +33,7 @@
 };
 
 /// What the control thread shares with traffic.
-pub struct Links {
+pub struct Channels {
     pub publish: watch::Sender<Arc<View>>,
     pub desk: Desk,
     pub mirror: Handle,
@@ -43,16 +43,16 @@
 pub fn spawn(
     config: &Config,
     line: &Line,
-    peer: PeerPort,
-    links: Links,
+    peer: PeerEndpoint,
+    channels: Channels,
     endpoint: operator::Context,
 ) -> Result<oneshot::Receiver<SocketAddr>, Error> {
     let started = clock::now();
-    let Links {
+    let Channels {
         publish,
         desk,
         mirror,
-    } = links;
+    } = channels;
     let store = Store::new(&config.kv)?;
     let (metrics, stopping) = (endpoint.metrics.clone(), endpoint.stopping.clone());
     let (bound, address) = oneshot::channel();
