--- a/crates/proxy/src/line/control.rs
+++ b/crates/proxy/src/line/control.rs
@@ -2,15 +2,15 @@
 //! and the failover duty. Each module but [`state`], [`entry`] and [`record`] is a task on it.
 
 pub mod attempt;
-pub mod duty;
-pub mod entry;
+pub mod election;
 pub mod failover;
-pub mod feeder;
 pub mod follow;
-pub mod member;
-pub mod observe;
+pub mod heartbeat;
+pub mod keys;
+pub mod probe;
 pub mod record;
+pub mod record_lookup;
 pub mod recorder;
+pub mod relay;
 pub mod state;
-pub mod testify;
 pub mod thread;
--- a/crates/proxy/src/line/control/attempt.rs
+++ b/crates/proxy/src/line/control/attempt.rs
@@ -17,28 +17,28 @@
 use crate::line::{
     clock,
     control::{
-        observe::{Watcher, ORDER_TIMEOUT},
-        record::{Noted, Record, Stopped},
-        recorder::{resync, write_record},
+        probe::{Probe, COMMAND_TIMEOUT},
+        record::{Failure, Record, StoredRecord},
+        recorder::{reload_record, write_record},
         state::Control,
     },
     journal,
 };
 
 /// How often a promotion is called for when its answer is lost; it is idempotent.
-const CALLS: usize = 3;
+const MAX_PROMOTION_CALLS: usize = 3;
 
 /// How long a held member may take to say that it still is: it runs nothing but reads, and a longer
 /// wait would lengthen every failover.
-const RECHECK_TIMEOUT: Duration = Duration::from_millis(150);
+const RECHECK_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How long the held members are asked whether they still are, until enough have said so: a busy one
 /// answers a little later, and to begin anew takes longer than this.
-const RECHECK_LIMIT: Duration = Duration::from_millis(800);
+const RECHECK_TOTAL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The pause before an order is given again to a server that has no time for it: less than one
 /// statement of usual length.
-const ORDER_AGAIN: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// One attempt to replace a primary.
 pub struct Attempt {
@@ -46,136 +46,136 @@
     pub service: String,
     pub members: Vec<Member>,
     /// The newest term that is known of.
-    pub newest: u64,
+    pub newest_term: u64,
     pub roster: Roster,
     /// The record in the store on which the roster rests.
-    pub recorded: Option<Noted>,
-    pub watchers: Vec<Rc<Watcher>>,
-    pub old: Option<Incarnation>,
+    pub recorded: Option<StoredRecord>,
+    pub probes: Vec<Rc<Probe>>,
+    pub old_primary: Option<Incarnation>,
     pub cause: Cause,
 }
 
 /// How an attempt ended.
-pub enum Ended {
+pub enum Completion {
     /// The promotion of `server` to `term` was called for, and may take effect even if no answer came.
-    Called {
+    Requested {
         server: Incarnation,
         term: u64,
     },
-    NotCalled,
+    NotRequested,
 }
 
 impl Attempt {
     /// Runs the attempt.
-    pub async fn run(&self) -> Ended {
-        let mut fence = self.begin();
-        let begun = clock::now();
+    pub async fn run(&self) -> Completion {
+        let mut fence = self.new_fence();
+        let started_at = clock::now();
         journal::write(
             "failover",
             json!({ "service": self.service, "cause": format!("{:?}", self.cause),
-                "old": self.old, "term": fence.term(), "quorum": fence.quorum(),
+                "old": self.old_primary, "term": fence.term(), "quorum": fence.quorum(),
                 "members": format!("{:?}", self.members) }),
         );
-        let result = self.replace(&mut fence).await;
-        let took = clock::now().since(begun).as_millis() as u64;
+        let result = self.replace_primary(&mut fence).await;
+        let took_ms = clock::now().since(started_at).as_millis() as u64;
         let term = fence.term();
         match result {
             Ok(server) => {
                 self.control.metrics.promotion();
                 journal::write(
                     "promoted",
-                    json!({ "service": self.service, "server": server.id, "term": term, "took_ms": took }),
+                    json!({ "service": self.service, "server": server.id, "term": term, "took_ms": took_ms }),
                 );
-                Ended::Called { server, term }
+                Completion::Requested { server, term }
             }
-            Err(stopped) => {
+            Err(failure) => {
                 journal::write(
                     "not promoted",
-                    json!({ "service": self.service, "term": term, "why": stopped.to_string(),
-                        "took_ms": took }),
+                    json!({ "service": self.service, "term": term, "why": failure.to_string(),
+                        "took_ms": took_ms }),
                 );
-                match stopped {
-                    Stopped::Unanswered { server, .. } => Ended::Called { server, term },
+                match failure {
+                    Failure::Unconfirmed { server, .. } => Completion::Requested { server, term },
                     _ => {
-                        self.resume(fence.held()).await;
-                        Ended::NotCalled
+                        self.resume_replicas(fence.held()).await;
+                        Completion::NotRequested
                     }
                 }
             }
         }
     }
 
-    fn begin(&self) -> Fence {
+    fn new_fence(&self) -> Fence {
         let sync_replicas = self.control.sync_replicas(&self.service);
         let quorum = fence::quorum(self.roster.len(), sync_replicas);
         let last = self
             .recorded
             .as_ref()
-            .and_then(|noted| noted.record.promoted());
-        Fence::new(&self.members, self.newest, last, quorum)
+            .and_then(|stored| stored.record.promoted());
+        Fence::new(&self.members, self.newest_term, last, quorum)
     }
 
-    async fn replace(&self, fence: &mut Fence) -> Result<Incarnation, Stopped> {
-        let late = self.fence(fence).await;
+    async fn replace_primary(&self, fence: &mut Fence) -> Result<Incarnation, Failure> {
+        let late_primary = self.fence_members(fence).await;
         let held_at = clock::now();
         let Some(chosen) = fence.choice().cloned() else {
             let (fenced, quorum) = (fence.held().len(), fence.quorum());
-            return Err(Stopped::NoChoice { fenced, quorum });
+            return Err(Failure::NoCandidate { fenced, quorum });
         };
         tokio::join!(
             tokio::time::sleep(clock::now().until(held_at + PROMOTION_WAIT)),
-            self.depose(late),
+            self.step_down_primary(late_primary),
         );
-        if self.has_grown() {
-            return Err(Stopped::Grown);
+        if self.has_new_member() {
+            return Err(Failure::MemberAdded);
         }
-        let duty = self.control.duty.borrow().token(clock::now());
-        let token = duty.ok_or(Stopped::NoDuty)?;
-        let revision = self.record(token, &chosen.id.id).await?;
-        let called = match self.recheck(fence).await {
-            Ok(()) => self.promote(token, fence, &chosen.id).await,
-            Err(stopped) => Err(stopped),
+        let token = self.control.election.borrow().token(clock::now());
+        let token = token.ok_or(Failure::LeadershipLost)?;
+        let revision = self.record_promotion(token, &chosen.id.id).await?;
+        let result = match self.recheck_members(fence).await {
+            Ok(()) => self.call_promotion(token, fence, &chosen.id).await,
+            Err(failure) => Err(failure),
         };
-        match called {
+        match result {
             Ok(()) => Ok(chosen.id),
-            Err(stopped @ Stopped::Unanswered { .. }) => Err(stopped),
-            Err(stopped) => {
-                self.withdraw(token, revision).await;
-                Err(stopped)
+            Err(failure @ Failure::Unconfirmed { .. }) => Err(failure),
+            Err(failure) => {
+                self.withdraw_promotion(token, revision).await;
+                Err(failure)
             }
         }
     }
 
     /// Asks those on whom the choice rests once more, until enough have answered.
-    async fn recheck(&self, fence: &Fence) -> Result<(), Stopped> {
-        let until = clock::now() + RECHECK_LIMIT;
+    async fn recheck_members(&self, fence: &Fence) -> Result<(), Failure> {
+        let until = clock::now() + RECHECK_TOTAL_TIMEOUT;
         loop {
-            let answers = self.ask_again().await;
+            let answers = self.request_statuses().await;
             match fence.recheck(&answers) {
                 Ok(()) => return Ok(()),
-                Err(Objection::Changed(server)) => return Err(Stopped::Restarted { server }),
+                Err(Objection::Changed(server)) => return Err(Failure::Restarted { server }),
                 Err(Objection::NoQuorum { confirmed, quorum }) if clock::now() >= until => {
-                    return Err(Stopped::Unheard { confirmed, quorum });
+                    return Err(Failure::NoQuorum { confirmed, quorum });
                 }
-                Err(Objection::NoQuorum { .. }) => tokio::time::sleep(ORDER_AGAIN).await,
+                Err(Objection::NoQuorum { .. }) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    async fn ask_again(&self) -> Vec<(Incarnation, Recheck)> {
-        let ask = |watcher: &Rc<Watcher>| {
-            let watcher = watcher.clone();
+    async fn request_statuses(&self) -> Vec<(Incarnation, Recheck)> {
+        let request = |probe: &Rc<Probe>| {
+            let probe = probe.clone();
             async move {
-                let answer = watcher.order(Command::Status, RECHECK_TIMEOUT).await;
-                let again = answer.map_or(Recheck::Unavailable, Recheck::Answered);
-                (watcher.server.incarnation.clone(), again)
+                let answer = probe.send(Command::Status, RECHECK_REQUEST_TIMEOUT).await;
+                let recheck = answer.map_or(Recheck::Unavailable, Recheck::Answered);
+                (probe.server.incarnation.clone(), recheck)
             }
         };
-        futures::future::join_all(self.watchers.iter().map(ask)).await
+        futures::future::join_all(self.probes.iter().map(request)).await
     }
 
     /// Whether a server has come that was not held.
-    fn has_grown(&self) -> bool {
+    fn has_new_member(&self) -> bool {
         let now = self.control.servers_of(&self.service);
         let known = |entry: &Entry| {
             self.members
@@ -188,53 +188,53 @@
     /// Holds every other member and tells the old primary to step down, all at once. A member that
     /// is out of sight is not waited for once the others suffice; nor is an old primary that has no
     /// time, which is returned and told meanwhile.
-    async fn fence(&self, fence: &mut Fence) -> Option<Rc<Watcher>> {
+    async fn fence_members(&self, fence: &mut Fence) -> Option<Rc<Probe>> {
         let term = fence.term();
-        let orders = self
+        let answers = self
             .members
             .iter()
-            .zip(&self.watchers)
-            .map(|(member, watcher)| {
-                let order = match Some(&member.id) == self.old.as_ref() {
+            .zip(&self.probes)
+            .map(|(member, probe)| {
+                let command = match Some(&member.id) == self.old_primary.as_ref() {
                     true => Command::StepDown(term),
                     false => Command::Pause(term),
                 };
-                async move { (member, obey(watcher, order).await) }
+                async move { (member, send_until_accepted(probe, command).await) }
             });
-        let mut orders: FuturesUnordered<_> = orders.collect();
-        let is_old = |member: &Member| Some(&member.id) == self.old.as_ref();
+        let mut answers: FuturesUnordered<_> = answers.collect();
+        let is_old = |member: &Member| Some(&member.id) == self.old_primary.as_ref();
         let seen = |member: &Member| matches!(member.sight, Sight::Answered(_)) && !is_old(member);
-        let mut awaited = self.members.iter().filter(|member| seen(member)).count();
-        let mut late = self.watcher_of_old();
-        while let Some((member, answer)) = orders.next().await {
-            awaited -= usize::from(seen(member));
-            self.hear(fence, member, answer);
+        let mut outstanding = self.members.iter().filter(|member| seen(member)).count();
+        let mut late_primary = self.probe_of_old_primary();
+        while let Some((member, answer)) = answers.next().await {
+            outstanding -= usize::from(seen(member));
+            self.note_answer(fence, member, answer);
             if is_old(member) {
-                late = None;
+                late_primary = None;
             }
-            if fence.is_complete() && awaited == 0 {
+            if fence.is_complete() && outstanding == 0 {
                 break;
             }
         }
-        late
+        late_primary
     }
 
-    fn watcher_of_old(&self) -> Option<Rc<Watcher>> {
+    fn probe_of_old_primary(&self) -> Option<Rc<Probe>> {
         let is_old =
-            |watcher: &&Rc<Watcher>| Some(&watcher.server.incarnation) == self.old.as_ref();
-        self.watchers.iter().find(is_old).cloned()
+            |probe: &&Rc<Probe>| Some(&probe.server.incarnation) == self.old_primary.as_ref();
+        self.probes.iter().find(is_old).cloned()
     }
 
     /// Notes a member's answer to its order.
-    fn hear(&self, fence: &mut Fence, member: &Member, answer: Result<Status, Error>) {
-        let heard = match &answer {
+    fn note_answer(&self, fence: &mut Fence, member: &Member, answer: Result<Status, Error>) {
+        let response = match &answer {
             Ok(status) => fence.note(member, status),
             Err(_) => Response::Nothing,
         };
         journal::write(
             "ordered",
             json!({ "service": self.service, "server": member.id, "term": fence.term(),
-                "old": Some(&member.id) == self.old.as_ref(), "heard": format!("{heard:?}"),
+                "old": Some(&member.id) == self.old_primary.as_ref(), "heard": format!("{response:?}"),
                 "answer": answer.map_or_else(|error| error.to_string(), |status| format!("{status:?}")) }),
         );
     }
@@ -243,10 +243,10 @@
     ///
     /// Failure: it is busy and refuses the order; it goes on as the primary after its replacement, and
     /// its callers' commits wait in vain until it is told again. Guard: it is told until it obeys.
-    async fn depose(&self, old: Option<Rc<Watcher>>) {
+    async fn step_down_primary(&self, old: Option<Rc<Probe>>) {
         let Some(old) = old else { return };
-        let term = self.newest + 1;
-        if let Err(error) = obey(&old, Command::StepDown(term)).await {
+        let term = self.newest_term + 1;
+        if let Err(error) = send_until_accepted(&old, Command::StepDown(term)).await {
             let server = &old.server.incarnation;
             journal::trouble("step down", &format!("{server}: {error}"));
         }
@@ -254,17 +254,16 @@
 
     /// Lets the held members follow the old primary again: nothing was promoted. Once the duty is
     /// another's, so are the holds.
-    async fn resume(&self, fenced: &[Fenced]) {
-        if self.control.duty.borrow().token(clock::now()).is_none() {
+    async fn resume_replicas(&self, fenced: &[Fenced]) {
+        if self.control.election.borrow().token(clock::now()).is_none() {
             return;
         }
-        let held =
-            |watcher: &&Rc<Watcher>| fenced.iter().any(|f| f.id == watcher.server.incarnation);
+        let held = |probe: &&Rc<Probe>| fenced.iter().any(|f| f.id == probe.server.incarnation);
         let orders = self
-            .watchers
+            .probes
             .iter()
             .filter(held)
-            .map(|watcher| watcher.order(Command::Resume, ORDER_TIMEOUT));
+            .map(|probe| probe.send(Command::Resume, COMMAND_TIMEOUT));
         for answer in futures::future::join_all(orders).await {
             if let Err(error) = answer {
                 journal::trouble("resume", &error.to_string());
@@ -273,27 +272,27 @@
     }
 
     /// Writes the promotion down before it is called for; returns the record's revision.
-    async fn record(&self, token: u64, server: &str) -> Result<u64, Stopped> {
-        let revision = self.recorded.as_ref().map(|noted| noted.revision);
+    async fn record_promotion(&self, token: u64, server: &str) -> Result<u64, Failure> {
+        let revision = self.recorded.as_ref().map(|stored| stored.revision);
         let record = self.next_record(token, server);
         let written = write_record(&self.control, &self.service, &record, revision).await;
-        if matches!(written, Err(Stopped::Conflict)) {
-            resync(&self.control, &self.service, token).await;
+        if matches!(written, Err(Failure::Conflict)) {
+            reload_record(&self.control, &self.service, token).await;
         }
         written
     }
 
     /// Takes the promotion back that was written down and not called for, so that the old primary
     /// counts as the one promoted last.
-    async fn withdraw(&self, token: u64, revision: u64) {
+    async fn withdraw_promotion(&self, token: u64, revision: u64) {
         let last = self
             .recorded
             .as_ref()
-            .map_or("", |noted| &noted.record.server);
+            .map_or("", |stored| &stored.record.server);
         let record = self.next_record(token, last);
         let written = write_record(&self.control, &self.service, &record, Some(revision)).await;
-        if let Err(stopped) = written {
-            journal::trouble("record", &stopped.to_string());
+        if let Err(failure) = written {
+            journal::trouble("record", &failure.to_string());
         }
     }
 
@@ -301,7 +300,7 @@
         let known = self
             .recorded
             .as_ref()
-            .map_or(0, |noted| noted.record.promotions);
+            .map_or(0, |stored| stored.record.promotions);
         Record {
             holder: self.control.name.clone(),
             token,
@@ -316,48 +315,48 @@
     /// Failure: the call is repeated seconds after its members were asked; meanwhile the server has
     /// started again without its log, and it leads with nothing. Guard: whoever is called for again is
     /// asked again before.
-    async fn promote(
+    async fn call_promotion(
         &self,
         token: u64,
         fence: &Fence,
         server: &Incarnation,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), Failure> {
         let control = &self.control;
         let mut last = None;
-        for _ in 0..CALLS {
-            if last.is_some() && self.recheck(fence).await.is_err() {
+        for _ in 0..MAX_PROMOTION_CALLS {
+            if last.is_some() && self.recheck_members(fence).await.is_err() {
                 break;
             }
-            if control.duty.borrow().token(clock::now()) != Some(token) {
-                return Err(last.unwrap_or(Stopped::NoDuty));
+            if control.election.borrow().token(clock::now()) != Some(token) {
+                return Err(last.unwrap_or(Failure::LeadershipLost));
             }
             let call = control
                 .promoter
                 .promote(&self.service, &server.id, &control.id, token);
             match call.await {
                 Ok(Outcome::Accepted) => return Ok(()),
-                Ok(Outcome::NotRunning) if last.is_none() => return Err(Stopped::NotRunning),
+                Ok(Outcome::NotRunning) if last.is_none() => return Err(Failure::NotRunning),
                 Ok(Outcome::NotRunning) => break,
-                Ok(Outcome::Refused) if last.is_none() => tokio::time::sleep(ORDER_AGAIN).await,
+                Ok(Outcome::Refused) if last.is_none() => tokio::time::sleep(RETRY_DELAY).await,
                 Ok(Outcome::Refused) => {}
                 Err(error) => {
                     let (server, why) = (server.clone(), error.to_string());
-                    last = Some(Stopped::Unanswered { server, why });
+                    last = Some(Failure::Unconfirmed { server, why });
                 }
             }
         }
-        Err(last.unwrap_or(Stopped::Refused))
+        Err(last.unwrap_or(Failure::Refused))
     }
 }
 
 /// Gives an order until the server carries it out, or for as long as an order may take.
-async fn obey(watcher: &Rc<Watcher>, order: Command) -> Result<Status, Error> {
-    let until = clock::now() + ORDER_TIMEOUT;
+async fn send_until_accepted(probe: &Rc<Probe>, command: Command) -> Result<Status, Error> {
+    let until = clock::now() + COMMAND_TIMEOUT;
     loop {
         let left = clock::now().until(until);
-        match watcher.order(order, left).await {
-            Err(Error::Refused(refusal)) if refusal.code == Code::Busy && left > ORDER_AGAIN => {
-                tokio::time::sleep(ORDER_AGAIN).await;
+        match probe.send(command, left).await {
+            Err(Error::Refused(refusal)) if refusal.code == Code::Busy && left > RETRY_DELAY => {
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             answer => return answer,
         }
--- a/crates/proxy/src/line/control/failover.rs
+++ b/crates/proxy/src/line/control/failover.rs
@@ -15,9 +15,9 @@
 use crate::line::{
     clock,
     control::{
-        attempt::{Attempt, Ended},
-        observe::Watcher,
-        record::{Noted, Record},
+        attempt::{Attempt, Completion},
+        probe::Probe,
+        record::{Record, StoredRecord},
         recorder::write_record,
         state::Control,
     },
@@ -25,175 +25,185 @@
 };
 
 /// How often the groups are judged.
-const TICK: Duration = Duration::from_millis(100);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a group is left alone after a promotion: it takes effect some hundred milliseconds after
 /// its call, and statuses from before it say nothing.
-const SETTLE: Duration = Duration::from_millis(1_200);
+const PROMOTION_SETTLE_TIME: Duration = Duration::from_millis(1_200);
 
 /// The pause after an attempt that did not promote.
-const RETRY: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// What is kept of one group.
-struct Watched {
-    memory: Monitor,
+struct Group {
+    monitor: Monitor,
     roster: Roster,
     /// The record in the store on which the roster rests.
-    recorded: Option<Noted>,
+    recorded: Option<StoredRecord>,
     /// The roster is being written to the store.
-    writing: bool,
+    is_writing: bool,
     not_before: Moment,
-    trying: bool,
+    is_attempting: bool,
 }
 
-type Watchers = Map<Incarnation, Rc<Watcher>>;
+type Probes = Map<Incarnation, Rc<Probe>>;
 
 /// The failover duty's own state.
 #[derive(Default)]
-struct Failover {
-    watchers: RefCell<Watchers>,
-    groups: RefCell<Map<String, Watched>>,
+struct Coordinator {
+    probes: RefCell<Probes>,
+    groups: RefCell<Map<String, Group>>,
     /// The groups with an attempt under way, also one of an earlier term of duty.
     ///
     /// Failure: the holder loses the duty in the middle of an attempt and gets it back, a second attempt
     /// begins, and the end of the first lets a third begin beside it: two servers are promoted in one
     /// second, and what the first acknowledged is lost. Guard: this outlasts the term of duty.
-    under_way: RefCell<Set<String>>,
+    groups_in_failover: RefCell<Set<String>>,
 }
 
 /// Judges all groups again and again while the duty is held.
 pub async fn run(control: Rc<Control>) {
-    let failover = Rc::new(Failover::default());
+    let coordinator = Rc::new(Coordinator::default());
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(EVALUATION_INTERVAL).await;
         let now = clock::now();
-        if control.duty.borrow().token(now).is_none() {
+        if control.election.borrow().token(now).is_none() {
             // What was seen in an earlier term of duty says nothing in the next.
-            failover.watchers.borrow_mut().clear();
-            failover.groups.borrow_mut().clear();
+            coordinator.probes.borrow_mut().clear();
+            coordinator.groups.borrow_mut().clear();
             continue;
         }
         for service in control.services() {
-            failover.clone().look(&control, &service, now);
+            coordinator.clone().evaluate_group(&control, &service, now);
         }
-        failover.forget(&control);
+        coordinator.drop_unregistered(&control);
     }
 }
 
-impl Failover {
-    /// Drops the watchers of servers that are gone.
-    fn forget(&self, control: &Control) {
+impl Coordinator {
+    /// Drops the probes of servers that are gone.
+    fn drop_unregistered(&self, control: &Control) {
         let services = control.services();
         let entries = services
             .iter()
             .flat_map(|service| control.servers_of(service));
         let present = entries.map(|entry| entry.server.incarnation.clone());
         let present: Set<Incarnation> = present.collect();
-        self.watchers
+        self.probes
             .borrow_mut()
             .retain(|id, _| present.contains(id));
     }
 
-    fn watchers_of(&self, entries: &[Entry]) -> Vec<Rc<Watcher>> {
-        let mut watchers = self.watchers.borrow_mut();
+    fn probes_of(&self, entries: &[Entry]) -> Vec<Rc<Probe>> {
+        let mut probes = self.probes.borrow_mut();
         entries
             .iter()
             .map(|entry| {
-                watchers
+                probes
                     .entry(entry.server.incarnation.clone())
-                    .or_insert_with(|| Watcher::new(entry.server.clone()))
+                    .or_insert_with(|| Probe::new(entry.server.clone()))
                     .clone()
             })
             .collect()
     }
 
     /// Asks the servers of one group, judges it and starts an attempt if one is due.
-    fn look(self: Rc<Self>, control: &Rc<Control>, service: &str, now: Moment) {
+    fn evaluate_group(self: Rc<Self>, control: &Rc<Control>, service: &str, now: Moment) {
         let entries = control.servers_of(service);
         if entries.is_empty() {
             return;
         }
-        let watchers = self.watchers_of(&entries);
+        let probes = self.probes_of(&entries);
         let members: Vec<Member> = entries
             .iter()
-            .zip(&watchers)
-            .map(|(entry, watcher)| Member {
+            .zip(&probes)
+            .map(|(entry, probe)| Member {
                 id: entry.server.incarnation.clone(),
                 leaving: entry.server.leaving,
-                sight: watcher.sight(),
-                asked: watcher.answered(),
+                sight: probe.sight(),
+                asked: probe.last_answered(),
             })
             .collect();
         let mut groups = self.groups.borrow_mut();
-        let watched = groups.entry(service.to_owned()).or_insert_with(|| Watched {
-            trying: self.under_way.borrow().contains(service),
-            ..Watched::new(control, service, now)
+        let group = groups.entry(service.to_owned()).or_insert_with(|| Group {
+            is_attempting: self.groups_in_failover.borrow().contains(service),
+            ..Group::new(control, service, now)
         });
-        watched.follow_record(control, service, now);
-        watched.roster.update(&members, now);
-        self.keep_roster(control, service, watched);
-        let calm = takeover::leader(&members).is_some() && !watched.memory.is_suspect(now);
-        watchers.iter().for_each(|watcher| watcher.tick(now, calm));
-        depose_old(&members, &watchers);
-        if watched.trying || now < watched.not_before || control.stopping.is_cancelled() {
+        group.merge_record(control, service, now);
+        group.roster.update(&members, now);
+        self.save_roster(control, service, group);
+        let is_healthy = takeover::leader(&members).is_some() && !group.monitor.is_suspect(now);
+        probes
+            .iter()
+            .for_each(|probe| probe.poll_if_due(now, is_healthy));
+        step_down_superseded(&members, &probes);
+        if group.is_attempting || now < group.not_before || control.stopping.is_cancelled() {
             return;
         }
-        let (old, cause) = match watched.memory.evaluate(&members, now) {
+        let (old_primary, cause) = match group.monitor.evaluate(&members, now) {
             Decision::Replace { old, cause } => (old, cause),
-            Decision::Resume => return resume_held(&members, &watchers),
+            Decision::Resume => return resume_held(&members, &probes),
             Decision::Healthy | Decision::Undecided => return,
         };
-        if !turn_is_ours(control, service, now) {
+        if !is_past_cooldown(control, service, now) {
             return;
         }
-        let settled = watchers.iter().filter(|watcher| watcher.cancel_resume());
-        if settled.count() < watchers.len() {
+        let not_resuming = probes.iter().filter(|probe| probe.cancel_resume());
+        if not_resuming.count() < probes.len() {
             return;
         }
-        watched.trying = true;
-        self.under_way.borrow_mut().insert(service.to_owned());
-        control.attempts.set(control.attempts.get() + 1);
+        group.is_attempting = true;
+        self.groups_in_failover
+            .borrow_mut()
+            .insert(service.to_owned());
+        control
+            .active_attempts
+            .set(control.active_attempts.get() + 1);
         let attempt = Attempt {
             control: control.clone(),
             service: service.to_owned(),
             members,
-            newest: watched.memory.newest_term(),
-            roster: watched.roster.clone(),
-            recorded: watched.recorded.clone(),
-            watchers,
-            old,
+            newest_term: group.monitor.newest_term(),
+            roster: group.roster.clone(),
+            recorded: group.recorded.clone(),
+            probes,
+            old_primary,
             cause,
         };
         drop(groups);
-        let failover = self.clone();
+        let coordinator = self.clone();
         tokio::task::spawn_local(async move {
-            let ended = attempt.run().await;
-            let attempts = &attempt.control.attempts;
+            let completion = attempt.run().await;
+            let attempts = &attempt.control.active_attempts;
             attempts.set(attempts.get() - 1);
-            failover.under_way.borrow_mut().remove(&attempt.service);
-            let mut groups = failover.groups.borrow_mut();
-            if let Some(watched) = groups.get_mut(&attempt.service) {
-                watched.ended(&ended, clock::now());
+            coordinator
+                .groups_in_failover
+                .borrow_mut()
+                .remove(&attempt.service);
+            let mut groups = coordinator.groups.borrow_mut();
+            if let Some(group) = groups.get_mut(&attempt.service) {
+                group.finish_attempt(&completion, clock::now());
             }
         });
     }
 }
 
-impl Watched {
+impl Group {
     fn new(control: &Control, service: &str, now: Moment) -> Self {
         let recorded = control.records.borrow().get(service).cloned();
-        let members = recorded.as_ref().map(|noted| &noted.record.members[..]);
+        let members = recorded.as_ref().map(|stored| &stored.record.members[..]);
         let promoted = recorded
             .as_ref()
-            .filter(|noted| noted.record.promotions > 0);
+            .filter(|stored| stored.record.promotions > 0);
         Self {
-            memory: Monitor::default(),
+            monitor: Monitor::default(),
             roster: Roster::new(members.unwrap_or_default(), now),
             // A promotion of this process's own, before it lost the duty, may still take effect.
-            not_before: promoted.map_or(now, |noted| noted.promoted + PROMOTION_COOLDOWN),
+            not_before: promoted
+                .map_or(now, |stored| stored.promotion_seen_at + PROMOTION_COOLDOWN),
             recorded,
-            writing: false,
-            trying: false,
+            is_writing: false,
+            is_attempting: false,
         }
     }
 
@@ -202,49 +212,49 @@
     /// Failure: a new holder has not seen the last list of the one before, on which a server stands
     /// that confirms commits; it holds all but one of a list without it. Guard: what is recorded
     /// counts, and a promotion is written down only over the very record on which its roster rests.
-    fn follow_record(&mut self, control: &Control, service: &str, now: Moment) {
+    fn merge_record(&mut self, control: &Control, service: &str, now: Moment) {
         let records = control.records.borrow();
-        let Some(noted) = records.get(service) else {
+        let Some(stored) = records.get(service) else {
             return;
         };
         let known = self.recorded.as_ref().map(|known| known.revision);
-        if known != Some(noted.revision) {
-            self.roster.merge(&noted.record.members, now);
-            self.recorded = Some(noted.clone());
+        if known != Some(stored.revision) {
+            self.roster.merge(&stored.record.members, now);
+            self.recorded = Some(stored.clone());
         }
     }
 
-    fn ended(&mut self, ended: &Ended, now: Moment) {
-        self.trying = false;
-        match ended {
-            Ended::Called { server, term } => {
-                self.memory.note_promotion(server, *term, now);
-                self.not_before = now + SETTLE;
+    fn finish_attempt(&mut self, completion: &Completion, now: Moment) {
+        self.is_attempting = false;
+        match completion {
+            Completion::Requested { server, term } => {
+                self.monitor.note_promotion(server, *term, now);
+                self.not_before = now + PROMOTION_SETTLE_TIME;
             }
-            Ended::NotCalled => {
-                self.memory.note_attempt();
-                self.not_before = now + RETRY;
+            Completion::NotRequested => {
+                self.monitor.note_attempt();
+                self.not_before = now + RETRY_DELAY;
             }
         }
     }
 }
 
-impl Failover {
+impl Coordinator {
     /// Writes the roster to the store when it has changed.
-    fn keep_roster(self: &Rc<Self>, control: &Rc<Control>, service: &str, watched: &mut Watched) {
-        let members = watched.roster.ids();
-        let known = watched.recorded.clone();
-        let same = known.as_ref().is_some_and(|noted| {
-            noted.record.members == members && noted.record.is_of(noted.revision)
+    fn save_roster(self: &Rc<Self>, control: &Rc<Control>, service: &str, group: &mut Group) {
+        let members = group.roster.ids();
+        let known = group.recorded.clone();
+        let is_saved = known.as_ref().is_some_and(|stored| {
+            stored.record.members == members && stored.record.is_in_era_of(stored.revision)
         });
-        let Some(token) = control.duty.borrow().token(clock::now()) else {
+        let Some(token) = control.election.borrow().token(clock::now()) else {
             return;
         };
-        if same || watched.writing || watched.trying {
+        if is_saved || group.is_writing || group.is_attempting {
             return;
         }
-        watched.writing = true;
-        let (failover, control, service) = (self.clone(), control.clone(), service.to_owned());
+        group.is_writing = true;
+        let (coordinator, control, service) = (self.clone(), control.clone(), service.to_owned());
         tokio::task::spawn_local(async move {
             let record = Record {
                 holder: control.name.clone(),
@@ -255,43 +265,45 @@
                 promotions: known.as_ref().map_or(0, |n| n.record.promotions),
                 members,
             };
-            let revision = known.map(|noted| noted.revision);
-            if let Err(stopped) = write_record(&control, &service, &record, revision).await {
-                journal::trouble("roster", &stopped.to_string());
-                tokio::time::sleep(RETRY).await;
+            let revision = known.map(|stored| stored.revision);
+            if let Err(failure) = write_record(&control, &service, &record, revision).await {
+                journal::trouble("roster", &failure.to_string());
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            if let Some(watched) = failover.groups.borrow_mut().get_mut(&service) {
-                watched.writing = false;
+            if let Some(group) = coordinator.groups.borrow_mut().get_mut(&service) {
+                group.is_writing = false;
             }
         });
     }
 }
 
 /// Lets replicas that are held for nothing receive again when they are next asked.
-fn resume_held(members: &[Member], watchers: &[Rc<Watcher>]) {
-    for (member, watcher) in members.iter().zip(watchers) {
+fn resume_held(members: &[Member], probes: &[Rc<Probe>]) {
+    for (member, probe) in members.iter().zip(probes) {
         if matches!(member.sight, Sight::Answered(status) if status.held != 0) {
-            watcher.order.set(Some(Command::Resume));
+            probe.next_command.set(Some(Command::Resume));
         }
     }
 }
 
 /// Tells primaries of earlier terms to stop leading when they are next asked.
-fn depose_old(members: &[Member], watchers: &[Rc<Watcher>]) {
+fn step_down_superseded(members: &[Member], probes: &[Rc<Probe>]) {
     let newest = takeover::newest_term(members);
-    for (member, watcher) in members.iter().zip(watchers) {
+    for (member, probe) in members.iter().zip(probes) {
         let superseded = |status: Status| status.role == Role::Primary && status.term < newest;
         if matches!(member.sight, Sight::Answered(status) if superseded(status)) {
-            watcher.order.set(Some(Command::StepDown(newest)));
+            probe.next_command.set(Some(Command::StepDown(newest)));
         }
     }
 }
 
 /// Whether no other process has replaced this group's primary a moment ago.
-fn turn_is_ours(control: &Control, service: &str, now: Moment) -> bool {
+fn is_past_cooldown(control: &Control, service: &str, now: Moment) -> bool {
     let records = control.records.borrow();
-    records.get(service).is_none_or(|noted| {
-        let ours = noted.record.holder == control.name;
-        ours || noted.record.promotions == 0 || now.since(noted.promoted) >= PROMOTION_COOLDOWN
+    records.get(service).is_none_or(|stored| {
+        let is_own = stored.record.holder == control.name;
+        is_own
+            || stored.record.promotions == 0
+            || now.since(stored.promotion_seen_at) >= PROMOTION_COOLDOWN
     })
 }
--- a/crates/proxy/src/line/control/member.rs
+++ b/crates/proxy/src/line/control/heartbeat.rs
@@ -11,31 +11,36 @@
 use crate::{
     control::backoff::{self, Backoff},
     line::{
-        control::{entry, state::Control},
+        control::{keys, state::Control},
         journal,
     },
 };
 
 /// How long the entry stays after its last renewal. Three renewals fit in, so one lost answer does
 /// not remove it.
-const TTL: Duration = Duration::from_millis(6_000);
+const LEASE_TTL: Duration = Duration::from_millis(6_000);
 
 /// How often the entry is renewed; a renewal costs a tenth of a read.
-const RENEW_EVERY: Duration = Duration::from_millis(1_900);
+const RENEW_INTERVAL: Duration = Duration::from_millis(1_900);
 
 /// The pause after a first failed call, and the longest one. A store that turns hundreds of proxies away is
 /// not asked more often for it.
-const RETRY: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(1_600));
+const RETRY_DELAYS: (Duration, Duration) =
+    (Duration::from_millis(400), Duration::from_millis(1_600));
 
 /// Keeps the entry until the process stops.
 pub async fn run(control: Rc<Control>) {
     let mut lease = None;
-    let mut backoff = Backoff::new(RETRY.0, RETRY.1, backoff::stable_hash(&control.name));
+    let mut backoff = Backoff::new(
+        RETRY_DELAYS.0,
+        RETRY_DELAYS.1,
+        backoff::stable_hash(&control.name),
+    );
     while !control.stopping.is_cancelled() {
         let pause = match renew(&control, &mut lease).await {
             Ok(()) => {
                 backoff.reset();
-                RENEW_EVERY
+                RENEW_INTERVAL
             }
             Err(error) => {
                 control.metrics.store_error();
@@ -49,7 +54,7 @@
         }
     }
     if let Some(lease) = lease {
-        if let Err(error) = withdraw(&control, lease).await {
+        if let Err(error) = withdraw_entry(&control, lease).await {
             journal::trouble("lease", &error.to_string());
         }
     }
@@ -61,14 +66,18 @@
 /// statements to this proxy for seconds, and those under way when it ends have an unknown outcome.
 /// Guard: it says that it takes none any more, and leaves that until the lease lapses: others are told
 /// how a key now is, not what became of it in between.
-async fn withdraw(control: &Control, lease: Lease) -> Result<(), Error> {
-    write(control, lease, None).await
+async fn withdraw_entry(control: &Control, lease: Lease) -> Result<(), Error> {
+    write_entry(control, lease, None).await
 }
 
 /// Writes the entry, with the address at which statements are taken.
-async fn write(control: &Control, lease: Lease, peer: Option<SocketAddr>) -> Result<(), Error> {
-    let key = entry::key(&control.id);
-    let value = entry::encode(&control.name, &control.dc, peer, control.peer.capacity)
+async fn write_entry(
+    control: &Control,
+    lease: Lease,
+    peer: Option<SocketAddr>,
+) -> Result<(), Error> {
+    let key = keys::member_key(&control.id);
+    let value = keys::encode_member(&control.name, &control.dc, peer, control.peer.capacity)
         .map_err(|error| Error::Protocol(error.to_string()))?;
     let write = Write {
         key: &key,
@@ -88,8 +97,8 @@
         journal::write("lease", json!({ "lapsed": held.id() }));
         *lease = None;
     }
-    let granted = store.grant(TTL).await?;
-    write(control, granted, control.peer.address).await?;
+    let granted = store.grant(LEASE_TTL).await?;
+    write_entry(control, granted, control.peer.address).await?;
     *lease = Some(granted);
     Ok(())
 }
--- a/crates/proxy/src/line/control/entry.rs
+++ b/crates/proxy/src/line/control/keys.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 
 /// The key of the failover duty; its value is the holder's name.
-pub const DUTY: &str = "dandelionpitch/duty";
+pub const LEADER: &str = "dandelionpitch/duty";
 
 /// The prefix of the keys by which proxies show that they are there.
-const MEMBERS: &str = "dandelionpitch/member/";
+const MEMBER_PREFIX: &str = "dandelionpitch/member/";
 
 /// What the entry of a proxy says.
 #[derive(Deserialize, Serialize)]
-struct Wire<'a> {
+struct Entry<'a> {
     /// The process, unique among all that ever ran.
     name: &'a str,
     dc: &'a str,
@@ -23,18 +23,18 @@
 }
 
 /// The key of a proxy's entry.
-pub fn key(id: &str) -> String {
-    format!("{MEMBERS}{id}")
+pub fn member_key(id: &str) -> String {
+    format!("{MEMBER_PREFIX}{id}")
 }
 
 /// The value of a proxy's entry; without an address it takes no statements of others.
-pub fn encode(
+pub fn encode_member(
     name: &str,
     dc: &str,
     peer: Option<SocketAddr>,
     capacity: f64,
 ) -> Result<Vec<u8>, serde_json::Error> {
-    serde_json::to_vec(&Wire {
+    serde_json::to_vec(&Entry {
         name,
         dc,
         peer,
@@ -43,17 +43,17 @@
 }
 
 /// The proxy that a key names.
-pub fn name(key: &str) -> Option<&str> {
-    key.strip_prefix(MEMBERS)
+pub fn member_id(key: &str) -> Option<&str> {
+    key.strip_prefix(MEMBER_PREFIX)
 }
 
 /// How the proxy `id` is reached for statements, by its entry.
-pub fn peer(id: &str, value: &[u8]) -> Result<Option<Peer>, serde_json::Error> {
-    let wire: Wire<'_> = serde_json::from_slice(value)?;
-    let capacity = wire.capacity.max(1.0);
-    Ok(wire.peer.map(|address| Peer {
+pub fn decode_member(id: &str, value: &[u8]) -> Result<Option<Peer>, serde_json::Error> {
+    let entry: Entry<'_> = serde_json::from_slice(value)?;
+    let capacity = entry.capacity.max(1.0);
+    Ok(entry.peer.map(|address| Peer {
         id: id.to_owned(),
-        dc: wire.dc.to_owned(),
+        dc: entry.dc.to_owned(),
         address,
         capacity,
     }))
--- a/crates/proxy/src/line/control/record.rs
+++ b/crates/proxy/src/line/control/record.rs
@@ -9,21 +9,21 @@
 use crate::line::journal;
 
 /// The prefix of the records of promotions.
-pub const RECORDS: &str = "dandelionpitch/group/";
+pub const RECORD_PREFIX: &str = "dandelionpitch/group/";
 
 /// Why an attempt did not promote a server.
 #[derive(Debug, Display)]
-pub enum Stopped {
+pub enum Failure {
     #[display("only {fenced} of {quorum} members are held")]
-    NoChoice { fenced: usize, quorum: usize },
+    NoCandidate { fenced: usize, quorum: usize },
     #[display("a server has come that is not held")]
-    Grown,
+    MemberAdded,
     #[display("{server} has started again since it was held")]
     Restarted { server: Incarnation },
     #[display("only {confirmed} of {quorum} say that they are still held")]
-    Unheard { confirmed: usize, quorum: usize },
+    NoQuorum { confirmed: usize, quorum: usize },
     #[display("the duty is no longer held")]
-    NoDuty,
+    LeadershipLost,
     #[display("the store says that the duty is another's, or the record changed")]
     Conflict,
     #[display("the store did not take the record: {_0}")]
@@ -33,7 +33,7 @@
     #[display("the platform has no time for the promotion")]
     Refused,
     #[display("whether {server} is promoted is not known: {why}")]
-    Unanswered { server: Incarnation, why: String },
+    Unconfirmed { server: Incarnation, why: String },
 }
 
 /// The record of a promotion in the store.
@@ -51,7 +51,7 @@
 
 impl Record {
     /// Reads a record; `None` if the item is none, as other writers use the same store.
-    pub fn read(item: &Item) -> Option<Self> {
+    pub fn decode(item: &Item) -> Option<Self> {
         serde_json::from_slice(&item.value)
             .inspect_err(|error| journal::trouble("record", &format!("{}: {error}", item.key)))
             .ok()
@@ -62,9 +62,9 @@
     /// Failure: the copy is from before a promotion, or from before a server confirmed its first commit; by
     /// what it says, the replaced primary leads and that server does not count. Guard: the record of the
     /// later promotion stays, and whoever counted by either counts.
-    fn after(mut self, known: &Self) -> Self {
-        let counted = known.members.iter();
-        let missing = counted.filter(|id| !self.members.contains(id));
+    fn merge_lost(mut self, known: &Self) -> Self {
+        let known_members = known.members.iter();
+        let missing = known_members.filter(|id| !self.members.contains(id));
         let members = self.members.iter().chain(missing).cloned().collect();
         if known.promotions > self.promotions {
             self = known.clone();
@@ -73,7 +73,7 @@
     }
 
     /// Whether it was written in the era of its `revision`, by a holder who knew of the copy.
-    pub fn is_of(&self, revision: u64) -> bool {
+    pub fn is_in_era_of(&self, revision: u64) -> bool {
         era::of(self.token) == era::of(revision)
     }
 
@@ -85,26 +85,26 @@
 
 /// A record and when this process saw it.
 #[derive(Clone, Debug)]
-pub struct Noted {
+pub struct StoredRecord {
     pub record: Record,
     pub revision: u64,
     /// When the last promotion was first seen here.
-    pub promoted: Moment,
+    pub promotion_seen_at: Moment,
 }
 
-impl Noted {
+impl StoredRecord {
     /// Reads a record into `known`, if the item is one.
-    pub fn read(item: &Item, known: &mut Map<String, Self>, now: Moment) {
-        let Some(service) = item.key.strip_prefix(RECORDS) else {
+    pub fn insert_item(item: &Item, known: &mut Map<String, Self>, now: Moment) {
+        let Some(service) = item.key.strip_prefix(RECORD_PREFIX) else {
             return;
         };
-        if let Some(record) = Record::read(item) {
-            Self::note(service, record, item.revision, known, now);
+        if let Some(record) = Record::decode(item) {
+            Self::insert(service, record, item.revision, known, now);
         }
     }
 
     /// Notes a record at `revision`, unless a later one is known.
-    pub fn note(
+    pub fn insert(
         service: &str,
         record: Record,
         revision: u64,
@@ -117,23 +117,23 @@
         }
         let restored = old.filter(|old| era::of(old.revision) < era::of(revision));
         let record = match restored {
-            Some(old) => record.after(&old.record),
+            Some(old) => record.merge_lost(&old.record),
             None => record,
         };
         let same = old.filter(|old| old.record.promotions == record.promotions);
-        let promoted = same.map_or(now, |old| old.promoted);
-        let noted = Self {
+        let promotion_seen_at = same.map_or(now, |old| old.promotion_seen_at);
+        let stored = Self {
             record,
             revision,
-            promoted,
+            promotion_seen_at,
         };
-        known.insert(service.to_owned(), noted);
+        known.insert(service.to_owned(), stored);
     }
 
     /// Notes that the store came back from a copy. What it does not hold any more is written as if nothing
     /// had been there.
-    pub fn restore(&mut self, present: u64) {
-        if era::of(self.revision) < era::of(present) {
+    pub fn note_store_restored(&mut self, current: u64) {
+        if era::of(self.revision) < era::of(current) {
             self.revision = 0;
         }
     }
--- a/crates/proxy/src/line/control/testify.rs
+++ b/crates/proxy/src/line/control/record_lookup.rs
@@ -8,7 +8,7 @@
 use crate::line::{
     clock,
     control::{
-        record::{Record, RECORDS},
+        record::{Record, RECORD_PREFIX},
         state::Control,
     },
     journal,
@@ -23,14 +23,14 @@
 }
 
 async fn answer(control: Rc<Control>, inquiry: Inquiry) {
-    let testimony = testimony(&control, &inquiry.service).await;
+    let snapshot = read_snapshot(&control, &inquiry.service).await;
     // Whoever asked may have given up meanwhile.
-    let _ = inquiry.answer.send(testimony);
+    let _ = inquiry.answer.send(snapshot);
 }
 
-async fn testimony(control: &Control, service: &str) -> Option<Snapshot> {
+async fn read_snapshot(control: &Control, service: &str) -> Option<Snapshot> {
     let asked = clock::now();
-    let key = format!("{RECORDS}{service}");
+    let key = format!("{RECORD_PREFIX}{service}");
     let item = match control.store().get(&key).await {
         Ok(item) => item?,
         Err(error) => {
@@ -39,9 +39,9 @@
             return None;
         }
     };
-    let record = Record::read(&item)?;
+    let record = Record::decode(&item)?;
     // The store came back from a copy, which may be from before a promotion.
-    if !record.is_of(item.revision) {
+    if !record.is_in_era_of(item.revision) {
         return None;
     }
     Some(Snapshot {
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -5,8 +5,8 @@
 use crate::line::{
     clock,
     control::{
-        entry::DUTY,
-        record::{Noted, Record, Stopped, RECORDS},
+        keys::LEADER,
+        record::{Failure, Record, StoredRecord, RECORD_PREFIX},
         state::Control,
     },
     journal,
@@ -24,22 +24,22 @@
     service: &str,
     record: &Record,
     known: Option<u64>,
-) -> Result<u64, Stopped> {
-    let value = serde_json::to_vec(record).map_err(|error| Stopped::Store(error.to_string()))?;
-    let key = format!("{RECORDS}{service}");
+) -> Result<u64, Failure> {
+    let value = serde_json::to_vec(record).map_err(|error| Failure::Store(error.to_string()))?;
+    let key = format!("{RECORD_PREFIX}{service}");
     let write = Write {
         key: &key,
         value: &value,
         lease: None,
     };
     let conditions = [
-        (DUTY, record.token),
+        (LEADER, record.token),
         (key.as_str(), known.unwrap_or_default()),
     ];
     match control.store().change(&conditions, &[write], &[]).await {
         Ok(Outcome::Done { revision }) => {
             let mut records = control.records.borrow_mut();
-            Noted::note(
+            StoredRecord::insert(
                 service,
                 record.clone(),
                 revision,
@@ -48,30 +48,30 @@
             );
             Ok(revision)
         }
-        Ok(Outcome::Conflict | Outcome::LeaseNotFound) => Err(Stopped::Conflict),
-        Err(error) => Err(Stopped::Store(error.to_string())),
+        Ok(Outcome::Conflict | Outcome::LeaseNotFound) => Err(Failure::Conflict),
+        Err(error) => Err(Failure::Store(error.to_string())),
     }
 }
 
 /// After a refused record: reads what the store holds, so that the next attempt goes on from it.
 /// The duty is given up only if its key is not this process's any more; a record whose own answer
 /// was lost is refused as well.
-pub async fn resync(control: &Control, service: &str, token: u64) {
+pub async fn reload_record(control: &Control, service: &str, token: u64) {
     let store = control.store();
-    let key = format!("{RECORDS}{service}");
+    let key = format!("{RECORD_PREFIX}{service}");
     let read = async {
-        let own = store.get(DUTY).await?;
+        let own = store.get(LEADER).await?;
         match own.is_some_and(|item| item.revision == token) {
             true => store.get(&key).await.map(Some),
             false => Ok(None),
         }
     };
     match read.await {
-        Ok(None) => control.duty.borrow_mut().note_expiry(),
+        Ok(None) => control.election.borrow_mut().note_expiry(),
         Ok(Some(item)) => {
             let mut records = control.records.borrow_mut();
             item.iter()
-                .for_each(|item| Noted::read(item, &mut records, clock::now()));
+                .for_each(|item| StoredRecord::insert_item(item, &mut records, clock::now()));
         }
         Err(error) => journal::trouble("record", &error.to_string()),
     }
--- a/crates/proxy/src/line/control/feeder.rs
+++ b/crates/proxy/src/line/control/relay.rs
@@ -10,23 +10,23 @@
 
 use crate::line::{control::state::Control, mirror::Handle};
 
-/// How much longer than a question's wait its answer may take: what a busy VM needs to write it.
-const SLACK: Duration = Duration::from_millis(500);
+/// How much longer than a request's wait its answer may take: what a busy VM needs to write it.
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
 /// A proxy that is asked for changes, with the connection to it.
-pub struct Feeder {
+pub struct Relay {
     id: String,
     address: SocketAddr,
     link: Option<Link>,
 }
 
-impl Feeder {
+impl Relay {
     /// The proxy `id`, not connected yet.
     pub fn new(control: &Control, id: &str) -> Result<Self, Error> {
-        let gone = || Error::Protocol(format!("{id} is gone"));
+        let unregistered = || Error::Protocol(format!("{id} is gone"));
         Ok(Self {
             id: id.to_owned(),
-            address: control.address_of(id).ok_or_else(gone)?,
+            address: control.address_of(id).ok_or_else(unregistered)?,
             link: None,
         })
     }
@@ -36,20 +36,20 @@
     }
 
     /// Asks it; after an error the connection is not used again.
-    pub async fn ask(&mut self, mirror: &Handle, question: Request) -> Result<Response, Error> {
-        let limit = question.wait + SLACK;
-        match tokio::time::timeout(limit, self.exchange(mirror, question)).await {
+    pub async fn poll(&mut self, mirror: &Handle, request: Request) -> Result<Response, Error> {
+        let limit = request.wait + RESPONSE_GRACE;
+        match tokio::time::timeout(limit, self.exchange(mirror, request)).await {
             Ok(answer) => answer,
             Err(_) => Err(Error::Timeout),
         }
     }
 
-    async fn exchange(&mut self, mirror: &Handle, question: Request) -> Result<Response, Error> {
+    async fn exchange(&mut self, mirror: &Handle, request: Request) -> Result<Response, Error> {
         let mut link = match self.link.take() {
             Some(link) => link,
             None => Link::open(self.address, feed::SERVICE, &self.id).await?,
         };
-        let answer = link.query(Query::Follow(question)).await?;
+        let answer = link.query(Query::Follow(request)).await?;
         self.link = Some(link);
         Response::read(&answer.result?.rows, |key| mirror.present(key))
     }
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -32,7 +32,7 @@
     line::{
         clock,
         control::{
-            entry::{self, DUTY},
+            keys::{self, LEADER},
             record,
         },
         journal,
@@ -43,7 +43,7 @@
 };
 
 /// The most unreadable entries that are remembered, so that another writer cannot fill the memory.
-const MOST_UNREADABLE: usize = 500;
+const MAX_INVALID_REGISTRATIONS: usize = 500;
 
 /// How this proxy takes statements of others.
 #[derive(Clone, Copy, Debug)]
@@ -61,28 +61,28 @@
     pub dc: String,
     pub peer: PeerEndpoint,
     /// Within which a new configuration has to be in force.
-    pub config_within: Duration,
+    pub config_deadline: Duration,
     pub metrics: Metrics,
     pub stopping: CancellationToken,
     pub store: RefCell<Store>,
     pub promoter: dandelionpitch_platform::promoter::Promoter,
-    pub duty: RefCell<Election>,
+    pub election: RefCell<Election>,
     /// How many primaries are being replaced by this process.
-    pub attempts: Cell<usize>,
+    pub active_attempts: Cell<usize>,
     pub registry: RefCell<Registry>,
-    pub records: RefCell<Map<String, record::Noted>>,
+    pub records: RefCell<Map<String, record::StoredRecord>>,
     pub(super) catalog: RefCell<Option<Arc<Catalog>>>,
     pub(super) members: RefCell<Members>,
     /// Entries among the registrations that are none.
-    pub(super) unreadable: RefCell<Set<String>>,
+    pub(super) invalid_registrations: RefCell<Set<String>>,
     /// Whether the last source of changes answered.
-    pub followed_lately: Cell<bool>,
+    pub is_following: Cell<bool>,
     /// From whom changes of the store are heard.
-    pub place: RefCell<Subscription>,
+    pub subscription: RefCell<Subscription>,
     /// What the store holds, as far as it was heard.
     pub mirror: Handle,
     /// Up to when no change of the store was missed, in milliseconds, as traffic sees it.
-    pub followed: Arc<AtomicU64>,
+    pub synced_until_ms: Arc<AtomicU64>,
     pub(super) publish: watch::Sender<Arc<View>>,
 }
 
@@ -92,7 +92,7 @@
         self.store.borrow().clone()
     }
 
-    /// The servers of a group and what is noted of them.
+    /// The servers of a group and what is stored of them.
     pub fn servers_of(&self, service: &str) -> Vec<Entry> {
         self.registry.borrow().servers_of(service)
     }
@@ -121,22 +121,22 @@
     }
 
     /// Takes everything that is in a store which came back from a copy.
-    pub fn restore(&self, update: &Update<Value>) {
+    pub fn apply_restored(&self, update: &Update<Value>) {
         let now = clock::now();
         journal::write("store restored", json!({ "era": era::of(update.revision) }));
-        self.duty.borrow_mut().note_store_restored(now);
-        self.take_all(&update.changes, Registry::restore);
-        for noted in self.records.borrow_mut().values_mut() {
-            noted.restore(update.revision);
+        self.election.borrow_mut().note_store_restored(now);
+        self.apply_all(&update.changes, Registry::restore);
+        for stored in self.records.borrow_mut().values_mut() {
+            stored.note_store_restored(update.revision);
         }
     }
 
     /// Takes everything that is in the store.
-    pub fn replace(&self, events: &[Event]) {
-        self.take_all(events, Registry::replace);
+    pub fn apply_snapshot(&self, events: &[Event]) {
+        self.apply_all(events, Registry::replace);
     }
 
-    fn take_all(&self, events: &[Event], register: fn(&mut Registry, Vec<Server>, Moment)) {
+    fn apply_all(&self, events: &[Event], register: fn(&mut Registry, Vec<Server>, Moment)) {
         let now = clock::now();
         let mut servers = Vec::new();
         let mut members = Vec::new();
@@ -146,14 +146,14 @@
                 continue;
             };
             match store::subject(&item.key) {
-                Subject::Config => self.configure(&item.value),
-                Subject::Server(id) => servers.extend(self.read_server(id, &item.value)),
+                Subject::Config => self.apply_config(&item.value),
+                Subject::Server(id) => servers.extend(self.decode_server(id, &item.value)),
                 Subject::Proxy(key) => {
-                    if key == DUTY {
+                    if key == LEADER {
                         let name = String::from_utf8_lossy(&item.value).into_owned();
                         holder = Some((name, item.revision));
-                    } else if let Some(name) = entry::name(key) {
-                        members.push((name.to_owned(), self.read_peer(name, &item.value)));
+                    } else if let Some(name) = keys::member_id(key) {
+                        members.push((name.to_owned(), self.decode_peer(name, &item.value)));
                     } else {
                         self.note_record(item, now);
                     }
@@ -166,30 +166,30 @@
         let holder = holder
             .as_ref()
             .map(|(name, revision)| (name.as_str(), *revision));
-        self.duty.borrow_mut().note_holder(holder);
+        self.election.borrow_mut().note_holder(holder);
         self.publish();
     }
 
     /// Takes changes of the store.
-    pub fn apply(&self, events: &[Event]) {
+    pub fn apply_changes(&self, events: &[Event]) {
         if events.is_empty() {
             return;
         }
         let now = clock::now();
         for event in events {
             match event {
-                Event::Written(item) => self.written(item, now),
-                Event::Removed { key, .. } => self.removed(key, now),
+                Event::Written(item) => self.apply_write(item, now),
+                Event::Removed { key, .. } => self.apply_removal(key, now),
             }
         }
         self.publish();
     }
 
-    fn written(&self, item: &Item, now: Moment) {
+    fn apply_write(&self, item: &Item, now: Moment) {
         match store::subject(&item.key) {
-            Subject::Config => self.configure(&item.value),
+            Subject::Config => self.apply_config(&item.value),
             Subject::Server(id) => {
-                let Some(server) = self.read_server(id, &item.value) else {
+                let Some(server) = self.decode_server(id, &item.value) else {
                     return self.registry.borrow_mut().mark_missing(id, now);
                 };
                 if self.registry.borrow_mut().put(server.clone(), now) {
@@ -201,15 +201,15 @@
                     );
                 }
             }
-            Subject::Proxy(key) if key == DUTY => {
+            Subject::Proxy(key) if key == LEADER => {
                 let name = String::from_utf8_lossy(&item.value);
-                self.duty
+                self.election
                     .borrow_mut()
                     .note_holder(Some((&name, item.revision)));
             }
-            Subject::Proxy(key) => match entry::name(key) {
+            Subject::Proxy(key) => match keys::member_id(key) {
                 Some(name) => {
-                    let peer = self.read_peer(name, &item.value);
+                    let peer = self.decode_peer(name, &item.value);
                     self.members.borrow_mut().mark_present(name, peer);
                 }
                 None => self.note_record(item, now),
@@ -218,15 +218,15 @@
         }
     }
 
-    fn removed(&self, key: &str, now: Moment) {
+    fn apply_removal(&self, key: &str, now: Moment) {
         match store::subject(key) {
             Subject::Server(id) => {
                 journal::write("server", json!({ "id": id, "missing": true }));
                 self.registry.borrow_mut().mark_missing(id, now);
             }
-            Subject::Proxy(key) if key == DUTY => self.duty.borrow_mut().note_holder(None),
+            Subject::Proxy(key) if key == LEADER => self.election.borrow_mut().note_holder(None),
             Subject::Proxy(key) => {
-                if let Some(name) = entry::name(key) {
+                if let Some(name) = keys::member_id(key) {
                     self.members.borrow_mut().mark_missing(name, now);
                 }
             }
@@ -236,11 +236,11 @@
 
     /// Reads a registration; `None` if it is none, as other writers use the same store. That is said
     /// once, until the entry is readable again.
-    fn read_server(&self, id: &str, value: &[u8]) -> Option<Server> {
-        let mut unreadable = self.unreadable.borrow_mut();
+    fn decode_server(&self, id: &str, value: &[u8]) -> Option<Server> {
+        let mut invalid = self.invalid_registrations.borrow_mut();
         match registration::decode(id, value) {
             Ok(server) => {
-                if unreadable.remove(id) {
+                if invalid.remove(id) {
                     journal::write("registration", json!({ "id": id, "readable": true }));
                 }
                 Some(server)
@@ -248,7 +248,7 @@
             Err(error) => {
                 self.metrics.entry_passed_over();
                 let known =
-                    unreadable.len() >= MOST_UNREADABLE || !unreadable.insert(id.to_owned());
+                    invalid.len() >= MAX_INVALID_REGISTRATIONS || !invalid.insert(id.to_owned());
                 if !known {
                     journal::trouble("registration", &error.to_string());
                 }
@@ -258,8 +258,8 @@
     }
 
     /// Reads another proxy's entry; one that is none still counts as a proxy, but gets no statements.
-    fn read_peer(&self, name: &str, value: &[u8]) -> Option<Peer> {
-        entry::peer(name, value).unwrap_or_else(|error| {
+    fn decode_peer(&self, name: &str, value: &[u8]) -> Option<Peer> {
+        keys::decode_member(name, value).unwrap_or_else(|error| {
             self.metrics.entry_passed_over();
             journal::trouble("member", &format!("{name}: {error}"));
             None
@@ -267,25 +267,25 @@
     }
 
     fn note_record(&self, item: &Item, now: Moment) {
-        record::Noted::read(item, &mut self.records.borrow_mut(), now);
+        record::StoredRecord::insert_item(item, &mut self.records.borrow_mut(), now);
     }
 
     /// Drops servers whose entries stayed missing up to `known`, until when no change was missed.
     pub fn expire(&self, known: Moment) {
-        let gone = self.registry.borrow_mut().expire(known);
+        let expired = self.registry.borrow_mut().expire(known);
         let members = self.members.borrow_mut().count(clock::now());
         let peers = self.members.borrow().peers(clock::now());
         let view = self.publish.borrow().clone();
         if (members, &peers) != (view.members, &view.peers) {
             self.publish();
         }
-        if !gone.is_empty() {
-            journal::write("servers gone", json!({ "ids": gone }));
+        if !expired.is_empty() {
+            journal::write("servers gone", json!({ "ids": expired }));
             self.publish();
         }
     }
 
-    fn configure(&self, value: &[u8]) {
+    fn apply_config(&self, value: &[u8]) {
         let catalog = match dandelionpitch_platform::config::decode(value) {
             Ok(catalog) => catalog,
             Err(error) => return journal::trouble("configuration", &error.to_string()),
@@ -338,8 +338,8 @@
             servers.insert(service.clone(), registry.servers_of(service));
         }
         let records = self.records.borrow();
-        let counted = |(name, noted): (&String, &record::Noted)| {
-            let members = noted.record.members.clone();
+        let members_of = |(name, stored): (&String, &record::StoredRecord)| {
+            let members = stored.record.members.clone();
             (name.clone(), members)
         };
         let now = clock::now();
@@ -347,13 +347,13 @@
         let (count, peers) = (members.count(now), members.peers(now));
         let before = self.publish.borrow().clone();
         if before.peers != peers {
-            self.place
+            self.subscription
                 .replace(Subscription::new(&peers, &self.id, &self.dc));
         }
         let mut view = View {
             catalog,
             servers,
-            counted: records.iter().map(counted).collect(),
+            counted: records.iter().map(members_of).collect(),
             members: count,
             peers,
             ownership: Map::default(),
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -20,9 +20,8 @@
     line::{
         clock,
         control::{
-            duty, failover, follow, member,
+            election, failover, follow, heartbeat, record_lookup,
             state::{Control, PeerEndpoint},
-            testify,
         },
         journal,
         mirror::Handle,
@@ -57,41 +56,41 @@
     let (metrics, stopping) = (endpoint.metrics.clone(), endpoint.stopping.clone());
     let (bound, address) = oneshot::channel();
     let endpoint = operator::build(config.operator_listen, endpoint, bound);
-    let counters = line
+    let metrics_endpoint = line
         .metrics
         .map(|address| operator::metrics_only(address, metrics.clone()));
     let promoter = Promoter::new(&format!("http://{}", line.promoter));
     let (id, dc) = (config.id.clone(), config.dc.clone());
-    let config_within = line.config_within;
+    let config_deadline = line.config_within;
     let start = move || {
         let mut registry = Registry::default();
         registry.note_synced(Moment::default());
-        let place = RefCell::new(Subscription::new(&[], &id, &dc));
+        let subscription = RefCell::new(Subscription::new(&[], &id, &dc));
         let control = Rc::new(Control {
             name: format!("{id}@{}", started.millis()),
             started,
             id,
             dc,
             peer,
-            config_within,
+            config_deadline,
             metrics,
             stopping,
             store: RefCell::new(store),
             promoter,
-            duty: RefCell::default(),
-            attempts: Cell::default(),
+            election: RefCell::default(),
+            active_attempts: Cell::default(),
             registry: RefCell::new(registry),
             records: RefCell::default(),
             catalog: RefCell::default(),
             members: RefCell::default(),
-            unreadable: RefCell::default(),
-            followed_lately: Cell::new(false),
-            place,
+            invalid_registrations: RefCell::default(),
+            is_following: Cell::new(false),
+            subscription,
             mirror,
-            followed: desk.followed,
+            synced_until_ms: desk.followed,
             publish,
         });
-        run(control, desk.inquiries, endpoint, counters);
+        run(control, desk.inquiries, endpoint, metrics_endpoint);
     };
     std::thread::Builder::new()
         .name("control".to_owned())
@@ -106,7 +105,7 @@
     control: Rc<Control>,
     inquiries: mpsc::UnboundedReceiver<Inquiry>,
     endpoint: Endpoint,
-    counters: Option<Endpoint>,
+    metrics_endpoint: Option<Endpoint>,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -114,12 +113,12 @@
         .expect("the control runtime starts");
     LocalSet::new().block_on(&runtime, async move {
         tokio::task::spawn_local(follow::run(control.clone()));
-        tokio::task::spawn_local(member::run(control.clone()));
-        tokio::task::spawn_local(duty::run(control.clone()));
+        tokio::task::spawn_local(heartbeat::run(control.clone()));
+        tokio::task::spawn_local(election::run(control.clone()));
         tokio::task::spawn_local(failover::run(control.clone()));
-        tokio::task::spawn_local(testify::run(control.clone(), inquiries));
-        if let Some(counters) = counters {
-            tokio::task::spawn_local(serve_counters(counters));
+        tokio::task::spawn_local(record_lookup::run(control.clone(), inquiries));
+        if let Some(metrics_endpoint) = metrics_endpoint {
+            tokio::task::spawn_local(serve_metrics(metrics_endpoint));
         }
         if let Err(error) = endpoint.launch().await {
             journal::trouble("operator endpoint", &error.to_string());
@@ -129,8 +128,8 @@
 }
 
 /// Serves the counters; traffic goes on without them.
-async fn serve_counters(counters: Endpoint) {
-    if let Err(error) = counters.launch().await {
+async fn serve_metrics(endpoint: Endpoint) {
+    if let Err(error) = endpoint.launch().await {
         journal::trouble("metrics endpoint", &error.to_string());
     }
 }
