--- a/crates/proxy/src/line/control.rs
+++ b/crates/proxy/src/line/control.rs
@@ -1,5 +1,8 @@
-//! The control thread: what the process knows of the configuration, the servers and the other proxies,
-//! and the failover duty. Each module but [`state`], [`entry`] and [`record`] is a task on it.
+//! The control thread: follows the key-value store, registers the proxy in it, and replaces failed
+//! primaries while this process is the failover leader.
+//!
+//! The tasks are [`election`], [`failover`], [`follow`], [`heartbeat`] and [`record_lookup`]. They
+//! share the [`state`], from which the traffic thread's view is published.
 
 pub mod attempt;
 pub mod election;
--- a/crates/proxy/src/line/control/attempt.rs
+++ b/crates/proxy/src/line/control/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt to replace a primary: hold the replicas, choose, wait, record, promote.
+//! One attempt to replace a primary: hold the replicas, choose a server, wait, record the promotion
+//! and request it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -25,19 +26,18 @@
     journal,
 };
 
-/// How often a promotion is called for when its answer is lost; it is idempotent.
+/// The promotion call is idempotent, so it is retried if its answer is lost.
 const MAX_PROMOTION_CALLS: usize = 3;
 
-/// How long a held member may take to say that it still is: it runs nothing but reads, and a longer
-/// wait would lengthen every failover.
+/// The timeout of one status request to a member that may be held. Held members run only reads, and
+/// a longer timeout would delay every failover.
 const RECHECK_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long the held members are asked whether they still are, until enough have said so: a busy one
-/// answers a little later, and to begin anew takes longer than this.
+/// How long status requests are repeated until enough members have confirmed that they are fenced. A
+/// busy member may answer only a later request, and a new attempt would take longer than this.
 const RECHECK_TOTAL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The pause before an order is given again to a server that has no time for it: less than one
-/// statement of usual length.
+/// The delay before a request that a busy server or the platform refused is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// One attempt to replace a primary.
@@ -45,10 +45,10 @@
     pub control: Rc<Control>,
     pub service: String,
     pub members: Vec<Member>,
-    /// The newest term that is known of.
+    /// The highest known term.
     pub newest_term: u64,
     pub roster: Roster,
-    /// The record in the store on which the roster rests.
+    /// The record in the store that the roster is based on.
     pub recorded: Option<StoredRecord>,
     pub probes: Vec<Rc<Probe>>,
     pub old_primary: Option<Incarnation>,
@@ -57,7 +57,8 @@
 
 /// How an attempt ended.
 pub enum Completion {
-    /// The promotion of `server` to `term` was called for, and may take effect even if no answer came.
+    /// The promotion of `server` to `term` was requested. It may take effect even if no answer was
+    /// received.
     Requested {
         server: Incarnation,
         term: u64,
@@ -66,7 +67,6 @@
 }
 
 impl Attempt {
-    /// Runs the attempt.
     pub async fn run(&self) -> Completion {
         let mut fence = self.new_fence();
         let started_at = clock::now();
@@ -146,14 +146,14 @@
         }
     }
 
-    /// Asks those on whom the choice rests once more, until enough have answered.
+    /// Requests the members' statuses until enough have confirmed that they are still fenced.
     async fn recheck_members(&self, fence: &Fence) -> Result<(), Failure> {
         let until = clock::now() + RECHECK_TOTAL_TIMEOUT;
         loop {
             let answers = self.request_statuses().await;
             match fence.recheck(&answers) {
                 Ok(()) => return Ok(()),
-                Err(Objection::Changed(server)) => return Err(Failure::Restarted { server }),
+                Err(Objection::Changed(server)) => return Err(Failure::MemberChanged { server }),
                 Err(Objection::NoQuorum { confirmed, quorum }) if clock::now() >= until => {
                     return Err(Failure::NoQuorum { confirmed, quorum });
                 }
@@ -174,20 +174,21 @@
         futures::future::join_all(self.probes.iter().map(request)).await
     }
 
-    /// Whether a server has come that was not held.
+    /// Whether a server has registered that is not part of the attempt and so is not held.
     fn has_new_member(&self) -> bool {
-        let now = self.control.servers_of(&self.service);
-        let known = |entry: &Entry| {
+        let current = self.control.servers_of(&self.service);
+        let is_member = |entry: &Entry| {
             self.members
                 .iter()
                 .any(|m| m.id == entry.server.incarnation)
         };
-        !now.iter().all(known)
+        !current.iter().all(is_member)
     }
 
-    /// Holds every other member and tells the old primary to step down, all at once. A member that
-    /// is out of sight is not waited for once the others suffice; nor is an old primary that has no
-    /// time, which is returned and told meanwhile.
+    /// Holds all replicas and tells the old primary to step down, concurrently.
+    ///
+    /// Once a quorum is held, waits only for members that answered their last status request, and not
+    /// for the old primary. Returns the old primary's probe if it has not answered by then.
     async fn fence_members(&self, fence: &mut Fence) -> Option<Rc<Probe>> {
         let term = fence.term();
         let answers = self
@@ -203,11 +204,16 @@
             });
         let mut answers: FuturesUnordered<_> = answers.collect();
         let is_old = |member: &Member| Some(&member.id) == self.old_primary.as_ref();
-        let seen = |member: &Member| matches!(member.sight, Sight::Answered(_)) && !is_old(member);
-        let mut outstanding = self.members.iter().filter(|member| seen(member)).count();
+        let is_awaited =
+            |member: &Member| matches!(member.sight, Sight::Answered(_)) && !is_old(member);
+        let mut outstanding = self
+            .members
+            .iter()
+            .filter(|member| is_awaited(member))
+            .count();
         let mut late_primary = self.probe_of_old_primary();
         while let Some((member, answer)) = answers.next().await {
-            outstanding -= usize::from(seen(member));
+            outstanding -= usize::from(is_awaited(member));
             self.note_answer(fence, member, answer);
             if is_old(member) {
                 late_primary = None;
@@ -225,7 +231,7 @@
         self.probes.iter().find(is_old).cloned()
     }
 
-    /// Notes a member's answer to its order.
+    /// Records a member's answer to its command.
     fn note_answer(&self, fence: &mut Fence, member: &Member, answer: Result<Status, Error>) {
         let response = match &answer {
             Ok(status) => fence.note(member, status),
@@ -239,10 +245,10 @@
         );
     }
 
-    /// Goes on telling the old primary to step down while the replicas are held.
+    /// Continues to tell the old primary to step down while the replicas are held.
     ///
-    /// Failure: it is busy and refuses the order; it goes on as the primary after its replacement, and
-    /// its callers' commits wait in vain until it is told again. Guard: it is told until it obeys.
+    /// A busy primary may refuse the command. If it remained primary after its replacement, commits on
+    /// it would wait for replicas that no longer follow it.
     async fn step_down_primary(&self, old: Option<Rc<Probe>>) {
         let Some(old) = old else { return };
         let term = self.newest_term + 1;
@@ -252,8 +258,8 @@
         }
     }
 
-    /// Lets the held members follow the old primary again: nothing was promoted. Once the duty is
-    /// another's, so are the holds.
+    /// Releases the held members after a failed attempt. Does nothing if this process is no longer the
+    /// failover leader, as the members may be held for the next leader's attempt.
     async fn resume_replicas(&self, fenced: &[Fenced]) {
         if self.control.election.borrow().token(clock::now()).is_none() {
             return;
@@ -271,7 +277,7 @@
         }
     }
 
-    /// Writes the promotion down before it is called for; returns the record's revision.
+    /// Records the promotion in the store before it is requested; returns the record's revision.
     async fn record_promotion(&self, token: u64, server: &str) -> Result<u64, Failure> {
         let revision = self.recorded.as_ref().map(|stored| stored.revision);
         let record = self.next_record(token, server);
@@ -282,8 +288,8 @@
         written
     }
 
-    /// Takes the promotion back that was written down and not called for, so that the old primary
-    /// counts as the one promoted last.
+    /// Overwrites the record of a promotion that was not carried out, so that the server promoted
+    /// before counts as the one promoted last.
     async fn withdraw_promotion(&self, token: u64, revision: u64) {
         let last = self
             .recorded
@@ -310,11 +316,10 @@
         }
     }
 
-    /// Calls for the promotion, and again when no answer came.
+    /// Requests the promotion, and again if the answer is lost.
     ///
-    /// Failure: the call is repeated seconds after its members were asked; meanwhile the server has
-    /// started again without its log, and it leads with nothing. Guard: whoever is called for again is
-    /// asked again before.
+    /// A retry after a lost answer may come seconds after the members were rechecked. The server may have
+    /// restarted since and would lead with an empty log, so the members are rechecked before it.
     async fn call_promotion(
         &self,
         token: u64,
@@ -322,40 +327,42 @@
         server: &Incarnation,
     ) -> Result<(), Failure> {
         let control = &self.control;
-        let mut last = None;
+        let mut failure = None;
         for _ in 0..MAX_PROMOTION_CALLS {
-            if last.is_some() && self.recheck_members(fence).await.is_err() {
+            if failure.is_some() && self.recheck_members(fence).await.is_err() {
                 break;
             }
             if control.election.borrow().token(clock::now()) != Some(token) {
-                return Err(last.unwrap_or(Failure::LeadershipLost));
+                return Err(failure.unwrap_or(Failure::LeadershipLost));
             }
             let call = control
                 .promoter
                 .promote(&self.service, &server.id, &control.id, token);
             match call.await {
                 Ok(Outcome::Accepted) => return Ok(()),
-                Ok(Outcome::NotRunning) if last.is_none() => return Err(Failure::NotRunning),
+                Ok(Outcome::NotRunning) if failure.is_none() => return Err(Failure::NotRunning),
                 Ok(Outcome::NotRunning) => break,
-                Ok(Outcome::Refused) if last.is_none() => tokio::time::sleep(RETRY_DELAY).await,
+                Ok(Outcome::Refused) if failure.is_none() => tokio::time::sleep(RETRY_DELAY).await,
                 Ok(Outcome::Refused) => {}
                 Err(error) => {
                     let (server, why) = (server.clone(), error.to_string());
-                    last = Some(Failure::Unconfirmed { server, why });
+                    failure = Some(Failure::Unconfirmed { server, why });
                 }
             }
         }
-        Err(last.unwrap_or(Failure::Refused))
+        Err(failure.unwrap_or(Failure::Refused))
     }
 }
 
-/// Gives an order until the server carries it out, or for as long as an order may take.
+/// Sends a command until the server accepts it, for at most [`COMMAND_TIMEOUT`] in total.
 async fn send_until_accepted(probe: &Rc<Probe>, command: Command) -> Result<Status, Error> {
     let until = clock::now() + COMMAND_TIMEOUT;
     loop {
-        let left = clock::now().until(until);
-        match probe.send(command, left).await {
-            Err(Error::Refused(refusal)) if refusal.code == Code::Busy && left > RETRY_DELAY => {
+        let remaining = clock::now().until(until);
+        match probe.send(command, remaining).await {
+            Err(Error::Refused(refusal))
+                if refusal.code == Code::Busy && remaining > RETRY_DELAY =>
+            {
                 tokio::time::sleep(RETRY_DELAY).await;
             }
             answer => return answer,
--- a/crates/proxy/src/line/control/election.rs
+++ b/crates/proxy/src/line/control/election.rs
@@ -1,5 +1,5 @@
-//! Keeps the failover duty: claims it when it is free and renews its lease while it is held. Whether
-//! it is held is decided by [`engine::election`].
+//! Claims the failover leadership when it is vacant, and renews its lease while this process is the
+//! leader. Whether it is the leader is decided by [`engine::election`].
 //!
 //! [`engine::election`]: dandelionpitch_engine::election
 
@@ -21,29 +21,27 @@
     },
 };
 
-/// The pause before another try after a call failed: three of them fit into a lease.
+/// The delay after a failed call, short enough for several retries before the lease expires.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a renewal may take. The store answers in 4 ms, in 240 ms when it is slow; a longer
-/// wait for a lost answer would use up the lease.
+/// The timeout of a renewal. A longer wait for a lost answer would use up the lease.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often a process looks whether the duty is free: a fifth of what a failover takes.
+/// How often a process checks whether the leadership is vacant.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Processes that see the duty free claim it up to this much apart, so that mostly one call does:
-/// a claim takes some 10 ms.
+/// The range of random delays before a claim, so that usually only one process sends a claim.
 const MAX_CLAIM_JITTER: Duration = Duration::from_millis(150);
 
-/// How long a stopping process keeps the duty for an attempt under way: five times what one takes
-/// (0.6 s), for calls whose answers are lost, and within the grace period.
+/// How long a stopping process stays the leader to finish active failover attempts. Covers retries of
+/// calls whose answers are lost, and fits into the grace period for stopping.
 const STOP_GRACE: Duration = Duration::from_millis(3_000);
 
-/// Keeps the duty or waits for it, until the process stops.
+/// Takes part in the election until the process stops.
 ///
-/// Failure: proxies are stopped in turn while a primary is replaced; each gives the duty up between
-/// holding the replicas and the promotion, and the group has no primary until the series ends.
-/// Guard: an attempt under way is finished first.
+/// A stopping leader first finishes active failover attempts. Otherwise, in a rolling restart during a
+/// failover, each proxy could release the leadership between holding the replicas and the promotion,
+/// and the group would have no primary until the restart is complete.
 pub async fn run(control: Rc<Control>) {
     let mut lease = None;
     let mut stop_at = None;
@@ -92,7 +90,7 @@
             && !control.stopping.is_cancelled() =>
         {
             let fraction = backoff::stable_fraction(&(&control.name, clock::now().millis()));
-            let age = clock::now().since(control.started);
+            let age = clock::now().since(control.started_at);
             let is_relay = control.subscription.borrow().is_relay;
             tokio::time::sleep(MAX_CLAIM_JITTER.mul_f64(fraction) + claim_delay(age, is_relay))
                 .await;
@@ -103,7 +101,7 @@
     }
 }
 
-/// Renews the lease; `false` when it has ended or its key is another's.
+/// Renews the lease; returns `false` if it has expired or this process is no longer the leader.
 async fn renew(control: &Control, lease: Lease) -> Result<bool, Error> {
     if !control.election.borrow().is_elected() {
         return Ok(false);
@@ -116,10 +114,10 @@
     Ok(renewed)
 }
 
-/// Claims the duty by writing its key if it is not there; returns the lease it lies under.
+/// Claims the leadership by creating the leader's key; returns the key's lease if this succeeds.
 ///
-/// Failure: the store applies the claim and its answer is lost. Guard: the key is read back, and
-/// only one that names this very process is its own.
+/// If the store's answer is lost, the key is read back. The claim succeeded if the key contains the
+/// name of this process, which no other process has.
 async fn claim(control: &Control) -> Result<Option<Lease>, Error> {
     if !control.election.borrow().may_claim(clock::now()) {
         return Ok(None);
--- a/crates/proxy/src/line/control/failover.rs
+++ b/crates/proxy/src/line/control/failover.rs
@@ -1,5 +1,5 @@
-//! Replaces primaries while this process holds the failover duty. What is to be done is decided by
-//! [`takeover`]; this module asks, orders and records.
+//! Replaces primaries while this process is the failover leader. [`takeover`] decides what to do with
+//! a group; this module polls its servers, starts failover attempts and saves its roster.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -24,51 +24,52 @@
     journal,
 };
 
-/// How often the groups are judged.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a group is left alone after a promotion: it takes effect some hundred milliseconds after
-/// its call, and statuses from before it say nothing.
+/// How long a group is not evaluated after a promotion was requested. The promotion takes effect with
+/// a delay, and statuses from before are obsolete.
 const PROMOTION_SETTLE_TIME: Duration = Duration::from_millis(1_200);
 
-/// The pause after an attempt that did not promote.
+/// The delay after a failed attempt, or after a roster could not be saved.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// What is kept of one group.
+/// The state of one group.
 struct Group {
     monitor: Monitor,
     roster: Roster,
-    /// The record in the store on which the roster rests.
+    /// The record in the store that the roster is based on.
     recorded: Option<StoredRecord>,
-    /// The roster is being written to the store.
+    /// Whether the roster is being written to the store.
     is_writing: bool,
+    /// The earliest time at which the group is evaluated again.
     not_before: Moment,
+    /// Whether a failover attempt is active.
     is_attempting: bool,
 }
 
 type Probes = Map<Incarnation, Rc<Probe>>;
 
-/// The failover duty's own state.
+/// The state of the failover leader.
 #[derive(Default)]
 struct Coordinator {
     probes: RefCell<Probes>,
     groups: RefCell<Map<String, Group>>,
-    /// The groups with an attempt under way, also one of an earlier term of duty.
+    /// The groups with an active attempt. Unlike `groups`, it is kept when the leadership is lost.
     ///
-    /// Failure: the holder loses the duty in the middle of an attempt and gets it back, a second attempt
-    /// begins, and the end of the first lets a third begin beside it: two servers are promoted in one
-    /// second, and what the first acknowledged is lost. Guard: this outlasts the term of duty.
+    /// If the leadership is lost and regained during an attempt, no second attempt may start in that
+    /// group before the first has ended. Otherwise two servers could be promoted in quick succession, and
+    /// commits acknowledged by the first would be lost.
     groups_in_failover: RefCell<Set<String>>,
 }
 
-/// Judges all groups again and again while the duty is held.
+/// Evaluates all groups periodically while this process is the failover leader.
 pub async fn run(control: Rc<Control>) {
     let coordinator = Rc::new(Coordinator::default());
     loop {
         tokio::time::sleep(EVALUATION_INTERVAL).await;
         let now = clock::now();
         if control.election.borrow().token(now).is_none() {
-            // What was seen in an earlier term of duty says nothing in the next.
+            // Observations are obsolete by the time this process is the leader again.
             coordinator.probes.borrow_mut().clear();
             coordinator.groups.borrow_mut().clear();
             continue;
@@ -81,7 +82,7 @@
 }
 
 impl Coordinator {
-    /// Drops the probes of servers that are gone.
+    /// Drops the probes of servers that are no longer registered.
     fn drop_unregistered(&self, control: &Control) {
         let services = control.services();
         let entries = services
@@ -107,7 +108,7 @@
             .collect()
     }
 
-    /// Asks the servers of one group, judges it and starts an attempt if one is due.
+    /// Polls the servers of a group, evaluates it and starts an attempt if its primary must be replaced.
     fn evaluate_group(self: Rc<Self>, control: &Rc<Control>, service: &str, now: Moment) {
         let entries = control.servers_of(service);
         if entries.is_empty() {
@@ -198,7 +199,7 @@
         Self {
             monitor: Monitor::default(),
             roster: Roster::new(members.unwrap_or_default(), now),
-            // A promotion of this process's own, before it lost the duty, may still take effect.
+            // A promotion that this process requested in an earlier leadership may still take effect.
             not_before: promoted
                 .map_or(now, |stored| stored.promotion_seen_at + PROMOTION_COOLDOWN),
             recorded,
@@ -207,11 +208,11 @@
         }
     }
 
-    /// Takes a record that has changed in the store since the roster was built on it.
+    /// Merges the group's record into the roster if it has changed in the store.
     ///
-    /// Failure: a new holder has not seen the last list of the one before, on which a server stands
-    /// that confirms commits; it holds all but one of a list without it. Guard: what is recorded
-    /// counts, and a promotion is written down only over the very record on which its roster rests.
+    /// The previous leader's last record may list a server that confirms commits and that this process
+    /// does not know of; a quorum without regard to it could miss commits. So every recorded server
+    /// counts, and a promotion is recorded only as an update of the record that its roster is based on.
     fn merge_record(&mut self, control: &Control, service: &str, now: Moment) {
         let records = control.records.borrow();
         let Some(stored) = records.get(service) else {
@@ -240,7 +241,7 @@
 }
 
 impl Coordinator {
-    /// Writes the roster to the store when it has changed.
+    /// Writes the roster to the store if it has changed, or if its record predates the last restore.
     fn save_roster(self: &Rc<Self>, control: &Rc<Control>, service: &str, group: &mut Group) {
         let members = group.roster.ids();
         let known = group.recorded.clone();
@@ -277,7 +278,7 @@
     }
 }
 
-/// Lets replicas that are held for nothing receive again when they are next asked.
+/// Schedules the release of held replicas for the next poll.
 fn resume_held(members: &[Member], probes: &[Rc<Probe>]) {
     for (member, probe) in members.iter().zip(probes) {
         if matches!(member.sight, Sight::Answered(status) if status.held != 0) {
@@ -286,7 +287,7 @@
     }
 }
 
-/// Tells primaries of earlier terms to stop leading when they are next asked.
+/// Schedules a step-down of primaries of earlier terms for the next poll.
 fn step_down_superseded(members: &[Member], probes: &[Rc<Probe>]) {
     let newest = takeover::newest_term(members);
     for (member, probe) in members.iter().zip(probes) {
@@ -297,7 +298,8 @@
     }
 }
 
-/// Whether no other process has replaced this group's primary a moment ago.
+/// Whether at least [`PROMOTION_COOLDOWN`] has passed since another process's last promotion in the
+/// group.
 fn is_past_cooldown(control: &Control, service: &str, now: Moment) -> bool {
     let records = control.records.borrow();
     records.get(service).is_none_or(|stored| {
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the store: one list at the start, then what changed, from the store itself or from another
-//! proxy that follows it. Whom to ask is decided by [`engine::feed`].
+//! Keeps the copy of the store's content current: lists the store once, then polls for changes, at the
+//! store or at a relay. The source is chosen by [`engine::feed`].
 //!
 //! [`engine::feed`]: dandelionpitch_engine::feed
 
@@ -27,28 +27,28 @@
     },
 };
 
-/// The part of the time within which a configuration has to be in force that a watch waits. One that
-/// hangs for good is noticed within it and its slack, which leaves time to read everything again.
+/// The timeout of a long poll, as a fraction of the time within which a new configuration must take
+/// effect. The rest of that time is for noticing that a poll hangs and for listing the store again.
 const POLL_TIMEOUT_FRACTION: f64 = 0.66;
 
-/// The least time between two watches that bring changes, but for the first after a quiet time.
+/// The minimum interval between polls of the store that return changes.
 ///
-/// Load pattern: all proxies start at once or are restarted in turn, each writes its entry, and each
-/// entry wakes all who watch. Changes that come together are taken together; none needs to be known
-/// sooner.
+/// When many proxies start at once or in a rolling restart, each writes an entry, which ends the polls
+/// of all others. With the interval, one poll returns many such changes. The first change after an idle
+/// period is not delayed.
 const BATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The shortest wait, while an entry is missing and is about to be dropped.
+/// The minimum timeout of a poll that is shortened because a missing server is due to be dropped.
 const MIN_POLL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The pause after a first failed call, and the longest one: short enough for the bound of a
-/// configuration after an outage, and spread so that the proxies do not come back as one.
+/// The first and the longest delay after failed polls, short enough for a new configuration to take
+/// effect in time after an outage. Jitter keeps proxies from retrying at the same time.
 const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
 
-/// Every key: the configuration, the servers and the proxies' own.
+/// The prefix of all keys.
 const ALL_KEYS: &str = "";
 
-/// Follows the store until the process ends.
+/// Polls for changes until the process ends.
 pub async fn run(control: Rc<Control>) {
     let mut follower = Follower::new(control);
     loop {
@@ -64,11 +64,12 @@
     control: Rc<Control>,
     backoff: Backoff,
     failures: Failures,
-    /// The source that answered last.
+    /// The source that answered the last poll, if it succeeded.
     source: Option<Source>,
     relay: Option<Relay>,
-    /// Whether everything has to be read again.
+    /// Whether the store must be listed before it is watched.
     needs_list: bool,
+    /// When changes from the store were last processed.
     changed_at: Moment,
 }
 
@@ -86,7 +87,8 @@
         }
     }
 
-    /// A process that has just started asks the store itself: it must know the newest configuration.
+    /// The source of the next poll. A process that has just started reads the store itself, as a relay
+    /// may not have the latest configuration.
     fn choose_source(&self) -> Source {
         match self.control.mirror.revision() {
             0 => Source::Store,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Asks once; whether anything has changed.
+    /// Polls the source once; returns whether anything has changed.
     async fn poll(&mut self, source: &Source) -> Result<bool, Error> {
         match source {
             Source::Store if self.needs_list => self.list_store().await,
@@ -138,7 +140,7 @@
         let known = self.relay.take().filter(|relay| relay.id() == id);
         let (mut relay, wait) = match known {
             Some(relay) => (relay, self.poll_timeout()),
-            // The first answer of a new source comes at once, so that one that hangs costs little.
+            // A new relay has to answer at once, so that an unresponsive one is noticed early.
             None => (Relay::new(&self.control, id)?, Duration::ZERO),
         };
         let after = self.control.mirror.revision();
@@ -149,12 +151,12 @@
         self.relay = Some(relay);
         let known = feed::known_until(asked, answer.waited, answer.age);
         let changed = self.apply(source, &answer.update, known);
-        // Whatever the store has forgotten, the other proxy has told.
+        // The relay's response includes changes that are no longer available from the store.
         self.needs_list = false;
         Ok(changed)
     }
 
-    /// Takes an update that is complete up to `known`; whether anything has changed.
+    /// Applies an update that has all changes up to `known`; returns whether anything has changed.
     fn apply(&self, source: &Source, update: &Update<Value>, known: Moment) -> bool {
         let control = &self.control;
         let before = control.mirror.revision();
@@ -170,7 +172,7 @@
         !update.changes.is_empty()
     }
 
-    /// How long a question waits for changes.
+    /// How long a poll waits for changes.
     fn poll_timeout(&self) -> Duration {
         let wait = self
             .control
@@ -199,7 +201,7 @@
             journal::write("source", json!({ "of_changes": format!("{source:?}") }));
             self.source = Some(source.clone());
         }
-        // Feeders gather for those who hear from them.
+        // Relays already batch the changes for their followers.
         if changed && *source == Source::Store {
             tokio::time::sleep(clock::now().until(self.changed_at + BATCH_INTERVAL)).await;
             self.changed_at = clock::now();
--- a/crates/proxy/src/line/control/heartbeat.rs
+++ b/crates/proxy/src/line/control/heartbeat.rs
@@ -1,4 +1,4 @@
-//! This process's entry in the store, by which the other proxies know that it is there.
+//! This proxy's entry in the store, by which the other proxies know that it is alive.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,19 +16,18 @@
     },
 };
 
-/// How long the entry stays after its last renewal. Three renewals fit in, so one lost answer does
-/// not remove it.
+/// How long the entry stays after its last renewal: several renewal intervals, so that one lost answer
+/// does not remove it.
 const LEASE_TTL: Duration = Duration::from_millis(6_000);
 
-/// How often the entry is renewed; a renewal costs a tenth of a read.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1_900);
 
-/// The pause after a first failed call, and the longest one. A store that turns hundreds of proxies away is
-/// not asked more often for it.
+/// The first and the longest delay after failed calls, so that the retries of hundreds of proxies do
+/// not add to the load of a store that refuses them.
 const RETRY_DELAYS: (Duration, Duration) =
     (Duration::from_millis(400), Duration::from_millis(1_600));
 
-/// Keeps the entry until the process stops.
+/// Renews the entry until the process stops.
 pub async fn run(control: Rc<Control>) {
     let mut lease = None;
     let mut backoff = Backoff::new(
@@ -60,17 +59,17 @@
     }
 }
 
-/// Takes the entry back in a planned stop.
+/// Marks the entry, in a planned stop, so that no more statements are forwarded to this proxy.
 ///
-/// Failure: an entry that is just gone may have lapsed with the store, so the others go on handing
-/// statements to this proxy for seconds, and those under way when it ends have an unknown outcome.
-/// Guard: it says that it takes none any more, and leaves that until the lease lapses: others are told
-/// how a key now is, not what became of it in between.
+/// The entry is rewritten without an address instead of being deleted. A deleted entry looks like one
+/// that expired in an outage of the store, so the other proxies would still forward statements for
+/// seconds, and those in flight at the end of the process would have an unknown outcome. The entry
+/// stays until its lease expires, as the other proxies may see only the latest state of a key.
 async fn withdraw_entry(control: &Control, lease: Lease) -> Result<(), Error> {
     write_entry(control, lease, None).await
 }
 
-/// Writes the entry, with the address at which statements are taken.
+/// Writes the entry, with the address where statements are accepted.
 async fn write_entry(
     control: &Control,
     lease: Lease,
--- a/crates/proxy/src/line/control/keys.rs
+++ b/crates/proxy/src/line/control/keys.rs
@@ -1,33 +1,33 @@
-//! The proxies' own keys in the store: who is there, who holds the failover duty.
+//! The keys that proxies write to the store to announce themselves and the failover leader.
 
 use std::net::SocketAddr;
 
 use dandelionpitch_engine::ownership::Peer;
 use serde::{Deserialize, Serialize};
 
-/// The key of the failover duty; its value is the holder's name.
+/// The key of the failover leader; its value is the name of the leader's process.
 pub const LEADER: &str = "dandelionpitch/duty";
 
-/// The prefix of the keys by which proxies show that they are there.
+/// The prefix of the live proxies' keys, followed by the proxy's id.
 const MEMBER_PREFIX: &str = "dandelionpitch/member/";
 
-/// What the entry of a proxy says.
+/// JSON representation of a live proxy.
 #[derive(Deserialize, Serialize)]
 struct Entry<'a> {
-    /// The process, unique among all that ever ran.
+    /// The name of the process, unique to this incarnation of the proxy.
     name: &'a str,
     dc: &'a str,
-    /// Where it takes statements of other proxies, if it does.
+    /// Where it accepts statements from other proxies, if it does.
     peer: Option<SocketAddr>,
     capacity: f64,
 }
 
-/// The key of a proxy's entry.
+/// The key of the live proxy `id`.
 pub fn member_key(id: &str) -> String {
     format!("{MEMBER_PREFIX}{id}")
 }
 
-/// The value of a proxy's entry; without an address it takes no statements of others.
+/// Encodes a live proxy; without a `peer` address, no statements are forwarded to it.
 pub fn encode_member(
     name: &str,
     dc: &str,
@@ -42,12 +42,12 @@
     })
 }
 
-/// The proxy that a key names.
+/// The id of the live proxy with this key; `None` for other keys.
 pub fn member_id(key: &str) -> Option<&str> {
     key.strip_prefix(MEMBER_PREFIX)
 }
 
-/// How the proxy `id` is reached for statements, by its entry.
+/// Decodes the live proxy `id`; returns `None` if no statements can be forwarded to it.
 pub fn decode_member(id: &str, value: &[u8]) -> Result<Option<Peer>, serde_json::Error> {
     let entry: Entry<'_> = serde_json::from_slice(value)?;
     let capacity = entry.capacity.max(1.0);
--- a/crates/proxy/src/line/control/probe.rs
+++ b/crates/proxy/src/line/control/probe.rs
@@ -1,5 +1,4 @@
-//! How the holder of the failover duty sees the servers: it asks each for its status, over a
-//! connection of its own.
+//! Polls a server's status for the failover leader, over a separate connection.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,29 +21,29 @@
 
 use crate::line::{clock, life, reach};
 
-/// How long a server may take to answer before its VM is asked for a new connection as well. A
-/// status waits behind the statements before it.
+/// How long a request may be unanswered before a connection attempt checks whether the VM is
+/// reachable. A status request is queued behind earlier statements.
 const CONNECT_CHECK_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a server may take to answer: until after its VM would have been found unreachable.
+/// The timeout of a request, longer than the check of an unreachable VM takes to fail.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long a live VM needs to accept a connection, whatever its server is busy with: fifty times
-/// the way there and back between data centres.
+/// The timeout of a connection attempt that checks whether the VM is reachable: many round trips
+/// between data centres. The kernel accepts connections however busy the server is.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A replica that answered is asked this often: only primaries have to be missed within half a
-/// second, and each question is priced.
+/// How often replicas of a healthy group are polled. Each request has a cost, and only the failure of a
+/// primary must be detected sooner.
 const HEALTHY_REPLICA_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a server that accepts connections may owe an answer before it counts as lost: longer
-/// than a full queue of a server that turned five times slower.
+/// How long a server that accepts connections may leave requests unanswered before it counts as lost:
+/// longer than a slow server needs for a full queue.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(2_500);
 
-/// How long an order may take.
+/// The timeout of a command in a failover attempt.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One server under observation.
+/// Polls one server and remembers the result.
 pub struct Probe {
     pub server: Arc<Server>,
     link: RefCell<Option<Link>>,
@@ -53,14 +52,14 @@
     last_asked: Cell<Moment>,
     is_polling: Cell<bool>,
     detector: Cell<Detector>,
-    /// It is being told to receive again.
+    /// Whether a resume command is in flight.
     is_resuming: Cell<bool>,
-    /// What it is to be told when it is next asked.
+    /// The command to send with the next poll, in place of a status request.
     pub next_command: Cell<Option<Command>>,
 }
 
 impl Probe {
-    /// A probe that has seen nothing.
+    /// Creates a probe that has not polled the server yet.
     pub fn new(server: Arc<Server>) -> Rc<Self> {
         Rc::new(Self {
             server,
@@ -75,17 +74,18 @@
         })
     }
 
-    /// How the server looked last.
+    /// The result of the latest polls.
     pub fn sight(&self) -> Sight {
         self.sight.get()
     }
 
-    /// When it was last asked a question that it answered.
+    /// When the last answered poll was sent, or when the probe was created.
     pub fn last_answered(&self) -> Moment {
         self.last_answered.get()
     }
 
-    /// Asks the server if it is time to; less often while its group is `is_healthy`.
+    /// Polls the server if its interval has passed. Replicas are polled less often if their group
+    /// `is_healthy`.
     pub fn poll_if_due(self: &Rc<Self>, now: Moment, is_healthy: bool) {
         let interval = match self.sight.get() {
             Sight::Answered(Status {
@@ -107,11 +107,10 @@
         });
     }
 
-    /// Takes back an order to receive again that is yet to be given; whether none is under way either.
+    /// Cancels a scheduled resume command; returns whether none is in flight either.
     ///
-    /// Failure: replicas are let go, the order is given with the next question, and meanwhile an
-    /// attempt holds them: they are let go in the middle of it. Guard: an attempt begins only when no
-    /// such order is left.
+    /// An attempt starts only if this is true for all its members. Otherwise an earlier resume command
+    /// could release a replica that the attempt holds.
     pub fn cancel_resume(&self) -> bool {
         if self.next_command.get() == Some(Command::Resume) {
             self.next_command.set(None);
@@ -143,7 +142,7 @@
                 self.sight.set(Sight::Answered(status));
                 self.last_answered.set(asked);
             }
-            // It answers, if only to say that it has no time or no room.
+            // The server is overloaded but not lost.
             Err(Error::Refused(refusal))
                 if matches!(refusal.code, Code::Busy | Code::TooManyConnections)
                     && self.answered_recently(asked) => {}
@@ -160,21 +159,26 @@
         }
     }
 
-    /// Whether the server's VM still accepts connections.
+    /// Whether the server's VM accepts connections.
     ///
-    /// Failure: a server under full load answers late, and its group would lose a second of writes
-    /// to a failover that helps nobody. Guard: only a VM that accepts nothing is lost at once.
+    /// A server under full load answers late, but a failover would not help and would interrupt writes.
+    /// So a late answer alone counts as a loss only after [`UNRESPONSIVE_AFTER`].
     async fn accepts_connections(&self) -> bool {
         reach::connects(self.server.address, CONNECT_TIMEOUT).await
     }
 
-    /// Whether the server has answered within [`UNRESPONSIVE_AFTER`], or is being watched no longer.
+    /// Whether the server answered, or the probe was created, less than [`UNRESPONSIVE_AFTER`] before
+    /// `asked`.
     fn answered_recently(&self, asked: Moment) -> bool {
         asked.since(self.last_answered.get()) < UNRESPONSIVE_AFTER
     }
 
-    /// Gives the server an order and returns how it stands after it, if it is still the life that is
-    /// watched.
+    /// Sends a command and returns the server's status after it.
+    ///
+    /// # Errors
+    ///
+    /// If there is no answer within `timeout`, the server refuses the command, or the answer is from
+    /// another incarnation than the registered one.
     pub async fn send(&self, command: Command, timeout: Duration) -> Result<Status, Error> {
         let asked = clock::now();
         let status = self.exchange(command, timeout).await?;
--- a/crates/proxy/src/line/control/record.rs
+++ b/crates/proxy/src/line/control/record.rs
@@ -1,4 +1,4 @@
-//! The record of a group in the store: who promoted last, and which servers count.
+//! The record of a group in the store: the last promotion, and the servers that count for promotions.
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{era, registry::Incarnation, time::Moment};
@@ -8,60 +8,63 @@
 
 use crate::line::journal;
 
-/// The prefix of the records of promotions.
+/// The prefix of the records' keys, followed by the name of the group.
 pub const RECORD_PREFIX: &str = "dandelionpitch/group/";
 
-/// Why an attempt did not promote a server.
+/// Why a failover attempt failed, or a record was not written.
 #[derive(Debug, Display)]
 pub enum Failure {
-    #[display("only {fenced} of {quorum} members are held")]
+    #[display("no server can be promoted safely: {fenced} of {quorum} required members are held")]
     NoCandidate { fenced: usize, quorum: usize },
-    #[display("a server has come that is not held")]
+    #[display("a server that is not held has registered")]
     MemberAdded,
-    #[display("{server} has started again since it was held")]
-    Restarted { server: Incarnation },
-    #[display("only {confirmed} of {quorum} say that they are still held")]
+    #[display("{server} is no longer fenced or its log has changed")]
+    MemberChanged { server: Incarnation },
+    #[display(
+        "only {confirmed} of {quorum} required members confirmed that they are still fenced"
+    )]
     NoQuorum { confirmed: usize, quorum: usize },
-    #[display("the duty is no longer held")]
+    #[display("this process is no longer the failover leader")]
     LeadershipLost,
-    #[display("the store says that the duty is another's, or the record changed")]
+    #[display("the leader's key or the group's record has changed in the store")]
     Conflict,
-    #[display("the store did not take the record: {_0}")]
+    #[display("could not write the record: {_0}")]
     Store(String),
-    #[display("the server to be promoted is not running")]
+    #[display("the server to promote is not running or not in the group")]
     NotRunning,
-    #[display("the platform has no time for the promotion")]
+    #[display("the platform is overloaded or unavailable and refused the promotion")]
     Refused,
-    #[display("whether {server} is promoted is not known: {why}")]
+    #[display("unknown whether {server} was promoted: {why}")]
     Unconfirmed { server: Incarnation, why: String },
 }
 
-/// The record of a promotion in the store.
+/// The record of a group, in JSON.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Record {
+    /// The name of the failover leader that wrote the record.
     pub holder: String,
+    /// Its fencing token.
     pub token: u64,
-    /// The server promoted last; empty while none was.
+    /// The id of the server promoted last, or about to be promoted; empty before the first promotion.
     pub server: String,
-    /// When this was written for a promotion, its number: others wait for a while after it.
+    /// The number of recorded promotions. Other processes start no attempt for a while after it grows.
     pub promotions: u64,
-    /// The servers that count for a promotion, present or vanished.
+    /// The servers that count for promotions, whether still registered or not.
     pub members: Vec<Incarnation>,
 }
 
 impl Record {
-    /// Reads a record; `None` if the item is none, as other writers use the same store.
+    /// Decodes a record. Returns `None` if it is invalid, as other programs write to the same store.
     pub fn decode(item: &Item) -> Option<Self> {
         serde_json::from_slice(&item.value)
             .inspect_err(|error| journal::trouble("record", &format!("{}: {error}", item.key)))
             .ok()
     }
 
-    /// This record, read from a store that came back from a copy, with what `known` of before has beyond it.
+    /// Merges `known`, the record from before a restore of the store, into this restored record.
     ///
-    /// Failure: the copy is from before a promotion, or from before a server confirmed its first commit; by
-    /// what it says, the replaced primary leads and that server does not count. Guard: the record of the
-    /// later promotion stays, and whoever counted by either counts.
+    /// The backup may predate a promotion, or the addition of a server that has confirmed commits since. So
+    /// the record with the later promotion is used, with the members of both.
     fn merge_lost(mut self, known: &Self) -> Self {
         let known_members = known.members.iter();
         let missing = known_members.filter(|id| !self.members.contains(id));
@@ -72,28 +75,29 @@
         Self { members, ..self }
     }
 
-    /// Whether it was written in the era of its `revision`, by a holder who knew of the copy.
+    /// Whether the record was written in the era of its `revision`, by a leader that knew of the store's
+    /// last restore.
     pub fn is_in_era_of(&self, revision: u64) -> bool {
         era::of(self.token) == era::of(revision)
     }
 
-    /// The server that was promoted last, or is about to be.
+    /// The server promoted last or about to be promoted, if any.
     pub fn promoted(&self) -> Option<&str> {
         Some(self.server.as_str()).filter(|server| !server.is_empty())
     }
 }
 
-/// A record and when this process saw it.
+/// A record as read from the store or written to it.
 #[derive(Clone, Debug)]
 pub struct StoredRecord {
     pub record: Record,
     pub revision: u64,
-    /// When the last promotion was first seen here.
+    /// When this process first saw the last promotion.
     pub promotion_seen_at: Moment,
 }
 
 impl StoredRecord {
-    /// Reads a record into `known`, if the item is one.
+    /// Inserts an item of the store into `known`, if it is a record.
     pub fn insert_item(item: &Item, known: &mut Map<String, Self>, now: Moment) {
         let Some(service) = item.key.strip_prefix(RECORD_PREFIX) else {
             return;
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Notes a record at `revision`, unless a later one is known.
+    /// Inserts the record at `revision` into `known`, unless a later one is known.
     pub fn insert(
         service: &str,
         record: Record,
@@ -130,8 +134,8 @@
         known.insert(service.to_owned(), stored);
     }
 
-    /// Notes that the store came back from a copy. What it does not hold any more is written as if nothing
-    /// had been there.
+    /// Notes that the store was restored from a backup and is now at the stamp `current`. A record that was
+    /// not read again since is missing from the store, so the next write has to create it.
     pub fn note_store_restored(&mut self, current: u64) {
         if era::of(self.revision) < era::of(current) {
             self.revision = 0;
--- a/crates/proxy/src/line/control/record_lookup.rs
+++ b/crates/proxy/src/line/control/record_lookup.rs
@@ -1,4 +1,4 @@
-//! Answers what traffic asks about groups' records, from the store itself.
+//! Reads groups' records directly from the store for the traffic thread.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
     records::Inquiry,
 };
 
-/// Answers until the process ends.
+/// Serves inquiries until the process ends.
 pub async fn run(control: Rc<Control>, mut inquiries: mpsc::UnboundedReceiver<Inquiry>) {
     while let Some(inquiry) = inquiries.recv().await {
         tokio::task::spawn_local(answer(control.clone(), inquiry));
@@ -24,7 +24,7 @@
 
 async fn answer(control: Rc<Control>, inquiry: Inquiry) {
     let snapshot = read_snapshot(&control, &inquiry.service).await;
-    // Whoever asked may have given up meanwhile.
+    // The requester may have been cancelled.
     let _ = inquiry.answer.send(snapshot);
 }
 
@@ -40,7 +40,7 @@
         }
     };
     let record = Record::decode(&item)?;
-    // The store came back from a copy, which may be from before a promotion.
+    // The store was restored from a backup, which may predate a promotion.
     if !record.is_in_era_of(item.revision) {
         return None;
     }
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -1,4 +1,4 @@
-//! Writes the record of a group to the store, and reads it back when that was refused.
+//! Writes the record of a group to the store, and reads it again after a conflict.
 
 use dandelionpitch_platform::store::{Outcome, Write};
 
@@ -12,13 +12,17 @@
     journal,
 };
 
-/// Writes a group's record, on the condition that this process still holds the duty and that the
-/// record is at the revision `known`, on which the new one rests; returns its revision.
+/// Writes a group's record, which is based on the one at the revision `known`; returns its revision.
 ///
-/// Failure: the store took the duty away without this process being told, and another holder
-/// promotes as well; or a new holder has not seen yet that its predecessor promotes a server this
-/// moment. Guard: the store itself refuses the record of a holder that is none, or that knows an
-/// older record.
+/// The store writes it only if this process is still the leader and the stored record is still at
+/// `known`. Otherwise this process could promote a server although its lease has expired and there is
+/// another leader, or a new leader could promote one without having seen a promotion that its
+/// predecessor has just recorded.
+///
+/// # Errors
+///
+/// [`Failure::Conflict`] if a condition does not hold, or [`Failure::Store`] if the call fails; the record
+/// may have been written all the same.
 pub async fn write_record(
     control: &Control,
     service: &str,
@@ -53,9 +57,10 @@
     }
 }
 
-/// After a refused record: reads what the store holds, so that the next attempt goes on from it.
-/// The duty is given up only if its key is not this process's any more; a record whose own answer
-/// was lost is refused as well.
+/// Reads a group's record after a conflict, so that the next attempt is based on it.
+///
+/// Gives up the leadership only if the leader's key is no longer this process's. A conflict does not
+/// prove that: it also follows a write that was applied but whose answer was lost.
 pub async fn reload_record(control: &Control, service: &str, token: u64) {
     let store = control.store();
     let key = format!("{RECORD_PREFIX}{service}");
--- a/crates/proxy/src/line/control/relay.rs
+++ b/crates/proxy/src/line/control/relay.rs
@@ -1,4 +1,4 @@
-//! Another proxy that tells this one what changed in the store.
+//! Client of another proxy that relays changes of the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,10 +10,10 @@
 
 use crate::line::{control::state::Control, mirror::Handle};
 
-/// How much longer than a request's wait its answer may take: what a busy VM needs to write it.
+/// Additional time for the response of a busy VM, after the request's wait has elapsed.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
-/// A proxy that is asked for changes, with the connection to it.
+/// A relay and the connection to it.
 pub struct Relay {
     id: String,
     address: SocketAddr,
@@ -21,9 +21,13 @@
 }
 
 impl Relay {
-    /// The proxy `id`, not connected yet.
+    /// Looks up the address of the proxy `id`. The connection is opened by the first poll.
+    ///
+    /// # Errors
+    ///
+    /// If the proxy is not registered or accepts no connections from other proxies.
     pub fn new(control: &Control, id: &str) -> Result<Self, Error> {
-        let unregistered = || Error::Protocol(format!("{id} is gone"));
+        let unregistered = || Error::Protocol(format!("relay {id} is not registered"));
         Ok(Self {
             id: id.to_owned(),
             address: control.address_of(id).ok_or_else(unregistered)?,
@@ -35,7 +39,7 @@
         &self.id
     }
 
-    /// Asks it; after an error the connection is not used again.
+    /// Requests changes. A connection on which a request failed or timed out is closed.
     pub async fn poll(&mut self, mirror: &Handle, request: Request) -> Result<Response, Error> {
         let limit = request.wait + RESPONSE_GRACE;
         match tokio::time::timeout(limit, self.exchange(mirror, request)).await {
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -1,5 +1,5 @@
-//! The control state of the process, all of it on one thread: the configuration, the servers, the
-//! other proxies and the failover duty. Traffic only sees the published [`View`].
+//! The state of the control thread: the configuration, the servers, the other proxies and the failover
+//! leadership. The traffic thread sees only the published [`View`].
 
 use std::{
     cell::{Cell, RefCell},
@@ -42,69 +42,70 @@
     metrics::Metrics,
 };
 
-/// The most unreadable entries that are remembered, so that another writer cannot fill the memory.
+/// Bounds the memory for invalid registrations, as other programs write to the same store.
 const MAX_INVALID_REGISTRATIONS: usize = 500;
 
-/// How this proxy takes statements of others.
+/// Where this proxy accepts statements from other proxies, if it does, and its weight among them.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerEndpoint {
     pub address: Option<SocketAddr>,
     pub capacity: f64,
 }
 
-/// The control state.
+/// The state shared by the tasks of the control thread.
 pub struct Control {
-    /// This process's name and incarnation, unique among all that ever ran.
+    /// The proxy's id and start time, unique to this process.
     pub name: String,
-    pub started: Moment,
+    pub started_at: Moment,
     pub id: String,
     pub dc: String,
     pub peer: PeerEndpoint,
-    /// Within which a new configuration has to be in force.
+    /// The time within which a new configuration must take effect.
     pub config_deadline: Duration,
     pub metrics: Metrics,
     pub stopping: CancellationToken,
     pub store: RefCell<Store>,
     pub promoter: dandelionpitch_platform::promoter::Promoter,
     pub election: RefCell<Election>,
-    /// How many primaries are being replaced by this process.
+    /// The number of active failover attempts.
     pub active_attempts: Cell<usize>,
     pub registry: RefCell<Registry>,
+    /// The groups' records by group name.
     pub records: RefCell<Map<String, record::StoredRecord>>,
     pub(super) catalog: RefCell<Option<Arc<Catalog>>>,
     pub(super) members: RefCell<Members>,
-    /// Entries among the registrations that are none.
+    /// The ids of servers whose registrations cannot be decoded.
     pub(super) invalid_registrations: RefCell<Set<String>>,
-    /// Whether the last source of changes answered.
+    /// Whether any source of changes responds.
     pub is_following: Cell<bool>,
-    /// From whom changes of the store are heard.
+    /// The sources of changes of the store.
     pub subscription: RefCell<Subscription>,
-    /// What the store holds, as far as it was heard.
+    /// This process's copy of the store's content.
     pub mirror: Handle,
-    /// Up to when no change of the store was missed, in milliseconds, as traffic sees it.
+    /// The time up to which no change of the store was missed, shared with the traffic thread.
     pub synced_until_ms: Arc<AtomicU64>,
     pub(super) publish: watch::Sender<Arc<View>>,
 }
 
 impl Control {
-    /// A client of the store as it now is.
+    /// A clone of the store client, without the connections that [`Store::reconnect`] has discarded.
     pub fn store(&self) -> Store {
         self.store.borrow().clone()
     }
 
-    /// The servers of a group and what is stored of them.
+    /// The servers of a group and the state of their registrations.
     pub fn servers_of(&self, service: &str) -> Vec<Entry> {
         self.registry.borrow().servers_of(service)
     }
 
-    /// The groups of the configuration in force.
+    /// The groups of the current configuration.
     pub fn services(&self) -> Vec<String> {
         let catalog = self.catalog.borrow();
         let services = catalog.iter().flat_map(|catalog| catalog.services.keys());
         services.cloned().collect()
     }
 
-    /// How many replicas a commit of the group waits for.
+    /// How many replicas have to receive a commit of the group.
     pub fn sync_replicas(&self, service: &str) -> u32 {
         let catalog = self.catalog.borrow();
         let service = catalog
@@ -113,14 +114,14 @@
         service.map_or(0, |service| service.sync_replicas)
     }
 
-    /// Where another proxy is reached.
+    /// Where another proxy accepts connections from this one, if it is known.
     pub fn address_of(&self, id: &str) -> Option<SocketAddr> {
         let view = self.publish.borrow();
         let peer = view.peers.iter().find(|peer| peer.id == id);
         peer.map(|peer| peer.address)
     }
 
-    /// Takes everything that is in a store which came back from a copy.
+    /// Applies the complete content of a store that was restored from a backup.
     pub fn apply_restored(&self, update: &Update<Value>) {
         let now = clock::now();
         journal::write("store restored", json!({ "era": era::of(update.revision) }));
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Takes everything that is in the store.
+    /// Applies the complete content of the store.
     pub fn apply_snapshot(&self, events: &[Event]) {
         self.apply_all(events, Registry::replace);
     }
@@ -152,8 +153,8 @@
                     if key == LEADER {
                         let name = String::from_utf8_lossy(&item.value).into_owned();
                         holder = Some((name, item.revision));
-                    } else if let Some(name) = keys::member_id(key) {
-                        members.push((name.to_owned(), self.decode_peer(name, &item.value)));
+                    } else if let Some(id) = keys::member_id(key) {
+                        members.push((id.to_owned(), self.decode_peer(id, &item.value)));
                     } else {
                         self.note_record(item, now);
                     }
@@ -170,7 +171,7 @@
         self.publish();
     }
 
-    /// Takes changes of the store.
+    /// Applies changes of the store.
     pub fn apply_changes(&self, events: &[Event]) {
         if events.is_empty() {
             return;
@@ -208,9 +209,9 @@
                     .note_holder(Some((&name, item.revision)));
             }
             Subject::Proxy(key) => match keys::member_id(key) {
-                Some(name) => {
-                    let peer = self.decode_peer(name, &item.value);
-                    self.members.borrow_mut().mark_present(name, peer);
+                Some(id) => {
+                    let peer = self.decode_peer(id, &item.value);
+                    self.members.borrow_mut().mark_present(id, peer);
                 }
                 None => self.note_record(item, now),
             },
@@ -226,16 +227,16 @@
             }
             Subject::Proxy(key) if key == LEADER => self.election.borrow_mut().note_holder(None),
             Subject::Proxy(key) => {
-                if let Some(name) = keys::member_id(key) {
-                    self.members.borrow_mut().mark_missing(name, now);
+                if let Some(id) = keys::member_id(key) {
+                    self.members.borrow_mut().mark_missing(id, now);
                 }
             }
             Subject::Config | Subject::Other => {}
         }
     }
 
-    /// Reads a registration; `None` if it is none, as other writers use the same store. That is said
-    /// once, until the entry is readable again.
+    /// Decodes a registration. Returns `None` if it is invalid, as other programs write to the same store;
+    /// this is logged once until the registration is valid again.
     fn decode_server(&self, id: &str, value: &[u8]) -> Option<Server> {
         let mut invalid = self.invalid_registrations.borrow_mut();
         match registration::decode(id, value) {
@@ -247,9 +248,9 @@
             }
             Err(error) => {
                 self.metrics.entry_passed_over();
-                let known =
+                let skip_log =
                     invalid.len() >= MAX_INVALID_REGISTRATIONS || !invalid.insert(id.to_owned());
-                if !known {
+                if !skip_log {
                     journal::trouble("registration", &error.to_string());
                 }
                 None
@@ -257,11 +258,12 @@
         }
     }
 
-    /// Reads another proxy's entry; one that is none still counts as a proxy, but gets no statements.
-    fn decode_peer(&self, name: &str, value: &[u8]) -> Option<Peer> {
-        keys::decode_member(name, value).unwrap_or_else(|error| {
+    /// Decodes another proxy's entry. A proxy with an invalid entry shares the connections to the servers
+    /// like any other, but no statements are forwarded to it.
+    fn decode_peer(&self, id: &str, value: &[u8]) -> Option<Peer> {
+        keys::decode_member(id, value).unwrap_or_else(|error| {
             self.metrics.entry_passed_over();
-            journal::trouble("member", &format!("{name}: {error}"));
+            journal::trouble("member", &format!("{id}: {error}"));
             None
         })
     }
@@ -270,7 +272,8 @@
         record::StoredRecord::insert_item(item, &mut self.records.borrow_mut(), now);
     }
 
-    /// Drops servers whose entries stayed missing up to `known`, until when no change was missed.
+    /// Drops servers and proxies that have been missing for too long. `known` is the time up to which no
+    /// change of the store was missed.
     pub fn expire(&self, known: Moment) {
         let expired = self.registry.borrow_mut().expire(known);
         let members = self.members.borrow_mut().count(clock::now());
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Who owns a group, from who owned it in the view `before`.
+    /// Which proxies own a group, derived from the view `before` and the `change` of the proxies since.
     fn ownership(
         &self,
         name: &str,
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -31,14 +31,15 @@
     },
 };
 
-/// What the control thread shares with traffic.
+/// What the control thread shares with the traffic thread.
 pub struct Channels {
     pub publish: watch::Sender<Arc<View>>,
     pub desk: Desk,
     pub mirror: Handle,
 }
 
-/// Starts the control thread, which runs until the process ends; returns where operators connect.
+/// Starts the control thread, which runs until the process ends. Sends the address of the operator
+/// endpoint once it listens.
 pub fn spawn(
     config: &Config,
     line: &Line,
@@ -46,7 +47,7 @@
     channels: Channels,
     endpoint: operator::Context,
 ) -> Result<oneshot::Receiver<SocketAddr>, Error> {
-    let started = clock::now();
+    let started_at = clock::now();
     let Channels {
         publish,
         desk,
@@ -67,8 +68,8 @@
         registry.note_synced(Moment::default());
         let subscription = RefCell::new(Subscription::new(&[], &id, &dc));
         let control = Rc::new(Control {
-            name: format!("{id}@{}", started.millis()),
-            started,
+            name: format!("{id}@{}", started_at.millis()),
+            started_at,
             id,
             dc,
             peer,
@@ -127,7 +128,7 @@
     });
 }
 
-/// Serves the counters; traffic goes on without them.
+/// Serves the metrics endpoint. A failure is only logged, as traffic does not depend on it.
 async fn serve_metrics(endpoint: Endpoint) {
     if let Err(error) = endpoint.launch().await {
         journal::trouble("metrics endpoint", &error.to_string());
