--- a/crates/proxy/src/line/control/attempt.rs
+++ b/crates/proxy/src/line/control/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt to replace a primary: hold the replicas, choose a server, wait, record the promotion
-//! and request it.
+//! One attempt to replace a primary: hold the replicas by pausing their replication, choose a server,
+//! wait, record the promotion in the store and request it from the platform.
 
 use std::{rc::Rc, time::Duration};
 
@@ -29,8 +29,8 @@
 /// The promotion call is idempotent, so it is retried if its answer is lost.
 const MAX_PROMOTION_CALLS: usize = 3;
 
-/// The timeout of one status request to a member that may be held. Held members run only reads, and
-/// a longer timeout would delay every failover.
+/// The timeout of one status request to a fenced member. Fenced members run only reads, and a longer
+/// timeout would delay every failover.
 const RECHECK_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How long status requests are repeated until enough members have confirmed that they are fenced. A
@@ -264,13 +264,13 @@
         if self.control.election.borrow().token(clock::now()).is_none() {
             return;
         }
-        let held = |probe: &&Rc<Probe>| fenced.iter().any(|f| f.id == probe.server.incarnation);
-        let orders = self
+        let is_held = |probe: &&Rc<Probe>| fenced.iter().any(|f| f.id == probe.server.incarnation);
+        let answers = self
             .probes
             .iter()
-            .filter(held)
+            .filter(is_held)
             .map(|probe| probe.send(Command::Resume, COMMAND_TIMEOUT));
-        for answer in futures::future::join_all(orders).await {
+        for answer in futures::future::join_all(answers).await {
             if let Err(error) = answer {
                 journal::trouble("resume", &error.to_string());
             }
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Requests the promotion, and again if the answer is lost.
+    /// Requests the promotion. Retries if the platform refuses the call or its answer is lost.
     ///
     /// A retry after a lost answer may come seconds after the members were rechecked. The server may have
     /// restarted since and would lead with an empty log, so the members are rechecked before it.
--- a/crates/proxy/src/line/control/election.rs
+++ b/crates/proxy/src/line/control/election.rs
@@ -30,7 +30,7 @@
 /// How often a process checks whether the leadership is vacant.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The range of random delays before a claim, so that usually only one process sends a claim.
+/// The longest jitter before a claim, so that usually only one process sends a claim.
 const MAX_CLAIM_JITTER: Duration = Duration::from_millis(150);
 
 /// How long a stopping process stays the leader to finish active failover attempts. Covers retries of
--- a/crates/proxy/src/line/control/failover.rs
+++ b/crates/proxy/src/line/control/failover.rs
@@ -199,7 +199,7 @@
         Self {
             monitor: Monitor::default(),
             roster: Roster::new(members.unwrap_or_default(), now),
-            // A promotion that this process requested in an earlier leadership may still take effect.
+            // A promotion that this process requested before it lost the leadership may still take effect.
             not_before: promoted
                 .map_or(now, |stored| stored.promotion_seen_at + PROMOTION_COOLDOWN),
             recorded,
@@ -211,8 +211,9 @@
     /// Merges the group's record into the roster if it has changed in the store.
     ///
     /// The previous leader's last record may list a server that confirms commits and that this process
-    /// does not know of; a quorum without regard to it could miss commits. So every recorded server
-    /// counts, and a promotion is recorded only as an update of the record that its roster is based on.
+    /// does not know of. A quorum computed without it might lack acknowledged commits. So every recorded
+    /// server counts, and a promotion is recorded only as an update of the record that its roster is
+    /// based on.
     fn merge_record(&mut self, control: &Control, service: &str, now: Moment) {
         let records = control.records.borrow();
         let Some(stored) = records.get(service) else {
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -33,9 +33,9 @@
 
 /// The minimum interval between polls of the store that return changes.
 ///
-/// When many proxies start at once or in a rolling restart, each writes an entry, which ends the polls
-/// of all others. With the interval, one poll returns many such changes. The first change after an idle
-/// period is not delayed.
+/// When many proxies start at once or in a rolling restart, each writes an entry, and each write ends
+/// the pending polls. With this interval, one poll returns many such changes. The first change after an
+/// idle period is not delayed.
 const BATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The minimum timeout of a poll that is shortened because a missing server is due to be dropped.
@@ -123,8 +123,8 @@
     async fn watch_store(&mut self) -> Result<bool, Error> {
         let asked = clock::now();
         let (after, wait) = (self.control.mirror.revision(), self.poll_timeout());
-        let watched = self.control.store().watch(ALL_KEYS, after, wait).await?;
-        let WatchResult::Changes { events, next } = watched else {
+        let result = self.control.store().watch(ALL_KEYS, after, wait).await?;
+        let WatchResult::Changes { events, next } = result else {
             self.needs_list = true;
             return Ok(true);
         };
@@ -137,8 +137,8 @@
     }
 
     async fn poll_relay(&mut self, source: &Source, id: &str) -> Result<bool, Error> {
-        let known = self.relay.take().filter(|relay| relay.id() == id);
-        let (mut relay, wait) = match known {
+        let connected = self.relay.take().filter(|relay| relay.id() == id);
+        let (mut relay, wait) = match connected {
             Some(relay) => (relay, self.poll_timeout()),
             // A new relay has to answer at once, so that an unresponsive one is noticed early.
             None => (Relay::new(&self.control, id)?, Duration::ZERO),
@@ -149,18 +149,18 @@
             .poll(&self.control.mirror, Request { after, wait })
             .await?;
         self.relay = Some(relay);
-        let known = feed::known_until(asked, answer.waited, answer.age);
-        let changed = self.apply(source, &answer.update, known);
+        let known_until = feed::known_until(asked, answer.waited, answer.age);
+        let changed = self.apply(source, &answer.update, known_until);
         // The relay's response includes changes that are no longer available from the store.
         self.needs_list = false;
         Ok(changed)
     }
 
-    /// Applies an update that has all changes up to `known`; returns whether anything has changed.
-    fn apply(&self, source: &Source, update: &Update<Value>, known: Moment) -> bool {
+    /// Applies an update that has all changes up to `known_until`; returns whether anything has changed.
+    fn apply(&self, source: &Source, update: &Update<Value>, known_until: Moment) -> bool {
         let control = &self.control;
         let before = control.mirror.revision();
-        if !control.mirror.take(source, update, known) {
+        if !control.mirror.take(source, update, known_until) {
             return false;
         }
         let restored = before != 0 && era::of(before) < era::of(update.revision);
@@ -193,10 +193,10 @@
             journal::dependency("store", "followed", "");
             control.registry.borrow_mut().restart_expiry(clock::now());
         }
-        let known = control.mirror.known_until();
-        control.expire(known);
-        control.registry.borrow_mut().note_synced(known);
-        records::note_followed(&control.synced_until_ms, known);
+        let known_until = control.mirror.known_until();
+        control.expire(known_until);
+        control.registry.borrow_mut().note_synced(known_until);
+        records::note_followed(&control.synced_until_ms, known_until);
         if self.source.as_ref() != Some(source) {
             journal::write("source", json!({ "of_changes": format!("{source:?}") }));
             self.source = Some(source.clone());
--- a/crates/proxy/src/line/control/record.rs
+++ b/crates/proxy/src/line/control/record.rs
@@ -65,7 +65,7 @@
     ///
     /// The backup may predate a promotion, or the addition of a server that has confirmed commits since. So
     /// the record with the later promotion is used, with the members of both.
-    fn merge_lost(mut self, known: &Self) -> Self {
+    fn merge_known(mut self, known: &Self) -> Self {
         let known_members = known.members.iter();
         let missing = known_members.filter(|id| !self.members.contains(id));
         let members = self.members.iter().chain(missing).cloned().collect();
@@ -121,7 +121,7 @@
         }
         let restored = old.filter(|old| era::of(old.revision) < era::of(revision));
         let record = match restored {
-            Some(old) => record.merge_lost(&old.record),
+            Some(old) => record.merge_known(&old.record),
             None => record,
         };
         let same = old.filter(|old| old.record.promotions == record.promotions);
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -88,7 +88,8 @@
 }
 
 impl Control {
-    /// A clone of the store client, without the connections that [`Store::reconnect`] has discarded.
+    /// A clone of the current store client. Earlier clones keep the connections that
+    /// [`Store::reconnect`] discards.
     pub fn store(&self) -> Store {
         self.store.borrow().clone()
     }
@@ -272,10 +273,10 @@
         record::StoredRecord::insert_item(item, &mut self.records.borrow_mut(), now);
     }
 
-    /// Drops servers and proxies that have been missing for too long. `known` is the time up to which no
-    /// change of the store was missed.
-    pub fn expire(&self, known: Moment) {
-        let expired = self.registry.borrow_mut().expire(known);
+    /// Drops servers and proxies that have been missing for too long, and publishes the result. No change
+    /// of the store up to `known_until` was missed.
+    pub fn expire(&self, known_until: Moment) {
+        let expired = self.registry.borrow_mut().expire(known_until);
         let members = self.members.borrow_mut().count(clock::now());
         let peers = self.members.borrow().peers(clock::now());
         let view = self.publish.borrow().clone();
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -38,8 +38,8 @@
     pub mirror: Handle,
 }
 
-/// Starts the control thread, which runs until the process ends. Sends the address of the operator
-/// endpoint once it listens.
+/// Starts the control thread, which runs until the process ends. The returned receiver gets the address
+/// of the operator endpoint once it listens.
 pub fn spawn(
     config: &Config,
     line: &Line,
