--- a/crates/proxy/src/line/control.rs
+++ b/crates/proxy/src/line/control.rs
@@ -1,16 +1,19 @@
-//! The control thread: what the process knows of the configuration, the servers and the other proxies,
-//! and the failover duty. Each module but [`state`], [`entry`] and [`record`] is a task on it.
+//! The control thread: follows the key-value store, registers the proxy in it, and replaces failed
+//! primaries while this process is the failover leader.
+//!
+//! The tasks are [`election`], [`failover`], [`follow`], [`heartbeat`] and [`record_lookup`]. They
+//! share the [`state`], from which the traffic thread's view is published.
 
 pub mod attempt;
-pub mod duty;
-pub mod entry;
+pub mod election;
 pub mod failover;
-pub mod feeder;
 pub mod follow;
-pub mod member;
-pub mod observe;
+pub mod heartbeat;
+pub mod keys;
+pub mod probe;
 pub mod record;
+pub mod record_lookup;
 pub mod recorder;
+pub mod relay;
 pub mod state;
-pub mod testify;
 pub mod thread;
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the store: one list at the start, then what changed, from the store itself or from another
-//! proxy that follows it. Whom to ask is decided by [`engine::feed`].
+//! Keeps the copy of the store's content current: lists the store once, then polls for changes, at the
+//! store or at a relay. The source is chosen by [`engine::feed`].
 //!
 //! [`engine::feed`]: dandelionpitch_engine::feed
 
@@ -22,40 +22,40 @@
     control::backoff::{self, Backoff},
     line::{
         clock,
-        control::{feeder::Feeder, state::Control},
+        control::{relay::Relay, state::Control},
         journal, records,
     },
 };
 
-/// The part of the time within which a configuration has to be in force that a watch waits. One that
-/// hangs for good is noticed within it and its slack, which leaves time to read everything again.
-const WAIT_PART: f64 = 0.66;
+/// The timeout of a long poll, as a fraction of the time within which a new configuration must take
+/// effect. The rest of that time is for noticing that a poll hangs and for listing the store again.
+const POLL_TIMEOUT_FRACTION: f64 = 0.66;
 
-/// The least time between two watches that bring changes, but for the first after a quiet time.
+/// The minimum interval between polls of the store that return changes.
 ///
-/// Load pattern: all proxies start at once or are restarted in turn, each writes its entry, and each
-/// entry wakes all who watch. Changes that come together are taken together; none needs to be known
-/// sooner.
-const GATHER: Duration = Duration::from_millis(500);
+/// When many proxies start at once or in a rolling restart, each writes an entry, and each write ends
+/// the pending polls. With this interval, one poll returns many such changes. The first change after an
+/// idle period is not delayed.
+const BATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The shortest wait, while an entry is missing and is about to be dropped.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
+/// The minimum timeout of a poll that is shortened because a missing server is due to be dropped.
+const MIN_POLL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The pause after a first failed call, and the longest one: short enough for the bound of a
-/// configuration after an outage, and spread so that the proxies do not come back as one.
-const RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
+/// The first and the longest delay after failed polls, short enough for a new configuration to take
+/// effect in time after an outage. Jitter keeps proxies from retrying at the same time.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
 
-/// Every key: the configuration, the servers and the proxies' own.
-const EVERYTHING: &str = "";
+/// The prefix of all keys.
+const ALL_KEYS: &str = "";
 
-/// Follows the store until the process ends.
+/// Polls for changes until the process ends.
 pub async fn run(control: Rc<Control>) {
     let mut follower = Follower::new(control);
     loop {
-        let source = follower.choose();
-        match follower.step(&source).await {
-            Ok(changed) => follower.heard(&source, changed).await,
-            Err(error) => follower.missed(&source, &error).await,
+        let source = follower.choose_source();
+        match follower.poll(&source).await {
+            Ok(changed) => follower.on_success(&source, changed).await,
+            Err(error) => follower.on_failure(&source, &error).await,
         }
     }
 }
@@ -64,11 +64,12 @@
     control: Rc<Control>,
     backoff: Backoff,
     failures: Failures,
-    /// The source that answered last.
+    /// The source that answered the last poll, if it succeeded.
     source: Option<Source>,
-    feeder: Option<Feeder>,
-    /// Whether everything has to be read again.
-    anew: bool,
+    relay: Option<Relay>,
+    /// Whether the store must be listed before it is watched.
+    needs_list: bool,
+    /// When changes from the store were last processed.
     changed_at: Moment,
 }
 
@@ -77,53 +78,54 @@
         let salt = backoff::stable_hash(&control.id);
         Self {
             control,
-            backoff: Backoff::new(RETRY.0, RETRY.1, salt),
+            backoff: Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1, salt),
             failures: Failures::default(),
             source: None,
-            feeder: None,
-            anew: true,
+            relay: None,
+            needs_list: true,
             changed_at: Moment::default(),
         }
     }
 
-    /// A process that has just started asks the store itself: it must know the newest configuration.
-    fn choose(&self) -> Source {
+    /// The source of the next poll. A process that has just started reads the store itself, as a relay
+    /// may not have the latest configuration.
+    fn choose_source(&self) -> Source {
         match self.control.mirror.revision() {
             0 => Source::Store,
             _ => self
                 .failures
-                .choose(&self.control.place.borrow(), clock::now()),
+                .choose(&self.control.subscription.borrow(), clock::now()),
         }
     }
 
-    /// Asks once; whether anything has changed.
-    async fn step(&mut self, source: &Source) -> Result<bool, Error> {
+    /// Polls the source once; returns whether anything has changed.
+    async fn poll(&mut self, source: &Source) -> Result<bool, Error> {
         match source {
-            Source::Store if self.anew => self.list().await,
-            Source::Store => self.watch().await,
-            Source::Peer(id) => self.ask(source, id).await,
+            Source::Store if self.needs_list => self.list_store().await,
+            Source::Store => self.watch_store().await,
+            Source::Peer(id) => self.poll_relay(source, id).await,
         }
     }
 
-    async fn list(&mut self) -> Result<bool, Error> {
+    async fn list_store(&mut self) -> Result<bool, Error> {
         let asked = clock::now();
-        let (items, revision) = self.control.store().list(EVERYTHING).await?;
+        let (items, revision) = self.control.store().list(ALL_KEYS).await?;
         let update = Update {
             revision,
             is_snapshot: true,
             changes: items.into_iter().map(Change::Written).collect(),
         };
-        self.take(&Source::Store, &update, asked);
-        self.anew = false;
+        self.apply(&Source::Store, &update, asked);
+        self.needs_list = false;
         Ok(true)
     }
 
-    async fn watch(&mut self) -> Result<bool, Error> {
+    async fn watch_store(&mut self) -> Result<bool, Error> {
         let asked = clock::now();
-        let (after, wait) = (self.control.mirror.revision(), self.wait());
-        let watched = self.control.store().watch(EVERYTHING, after, wait).await?;
-        let WatchResult::Changes { events, next } = watched else {
-            self.anew = true;
+        let (after, wait) = (self.control.mirror.revision(), self.poll_timeout());
+        let result = self.control.store().watch(ALL_KEYS, after, wait).await?;
+        let WatchResult::Changes { events, next } = result else {
+            self.needs_list = true;
             return Ok(true);
         };
         let update = Update {
@@ -131,82 +133,82 @@
             is_snapshot: false,
             changes: events,
         };
-        Ok(self.take(&Source::Store, &update, asked))
+        Ok(self.apply(&Source::Store, &update, asked))
     }
 
-    async fn ask(&mut self, source: &Source, id: &str) -> Result<bool, Error> {
-        let known = self.feeder.take().filter(|feeder| feeder.id() == id);
-        let (mut feeder, wait) = match known {
-            Some(feeder) => (feeder, self.wait()),
-            // The first answer of a new source comes at once, so that one that hangs costs little.
-            None => (Feeder::new(&self.control, id)?, Duration::ZERO),
+    async fn poll_relay(&mut self, source: &Source, id: &str) -> Result<bool, Error> {
+        let connected = self.relay.take().filter(|relay| relay.id() == id);
+        let (mut relay, wait) = match connected {
+            Some(relay) => (relay, self.poll_timeout()),
+            // A new relay has to answer at once, so that an unresponsive one is noticed early.
+            None => (Relay::new(&self.control, id)?, Duration::ZERO),
         };
         let after = self.control.mirror.revision();
         let asked = clock::now();
-        let answer = feeder
-            .ask(&self.control.mirror, Request { after, wait })
+        let answer = relay
+            .poll(&self.control.mirror, Request { after, wait })
             .await?;
-        self.feeder = Some(feeder);
-        let known = feed::known_until(asked, answer.waited, answer.age);
-        let changed = self.take(source, &answer.update, known);
-        // Whatever the store has forgotten, the other proxy has told.
-        self.anew = false;
+        self.relay = Some(relay);
+        let known_until = feed::known_until(asked, answer.waited, answer.age);
+        let changed = self.apply(source, &answer.update, known_until);
+        // The relay's response includes changes that are no longer available from the store.
+        self.needs_list = false;
         Ok(changed)
     }
 
-    /// Takes an update that is complete up to `known`; whether anything has changed.
-    fn take(&self, source: &Source, update: &Update<Value>, known: Moment) -> bool {
+    /// Applies an update that has all changes up to `known_until`; returns whether anything has changed.
+    fn apply(&self, source: &Source, update: &Update<Value>, known_until: Moment) -> bool {
         let control = &self.control;
         let before = control.mirror.revision();
-        if !control.mirror.take(source, update, known) {
+        if !control.mirror.take(source, update, known_until) {
             return false;
         }
         let restored = before != 0 && era::of(before) < era::of(update.revision);
         match (restored, update.is_snapshot) {
-            (true, _) => control.restore(update),
-            (false, true) => control.replace(&update.changes),
-            (false, false) => control.apply(&update.changes),
+            (true, _) => control.apply_restored(update),
+            (false, true) => control.apply_snapshot(&update.changes),
+            (false, false) => control.apply_changes(&update.changes),
         }
         !update.changes.is_empty()
     }
 
-    /// How long a question waits for changes.
-    fn wait(&self) -> Duration {
+    /// How long a poll waits for changes.
+    fn poll_timeout(&self) -> Duration {
         let wait = self
             .control
-            .config_within
-            .mul_f64(WAIT_PART)
+            .config_deadline
+            .mul_f64(POLL_TIMEOUT_FRACTION)
             .min(feed::POLL_TIMEOUT);
         match self.control.registry.borrow().next_expiry() {
-            Some(expiry) => wait.min(clock::now().until(expiry).max(SHORTEST_WAIT)),
+            Some(expiry) => wait.min(clock::now().until(expiry).max(MIN_POLL_TIMEOUT)),
             None => wait,
         }
     }
 
-    async fn heard(&mut self, source: &Source, changed: bool) {
+    async fn on_success(&mut self, source: &Source, changed: bool) {
         let control = &self.control;
         self.backoff.reset();
         self.failures.clear(source);
-        if !control.followed_lately.replace(true) {
+        if !control.is_following.replace(true) {
             journal::dependency("store", "followed", "");
             control.registry.borrow_mut().restart_expiry(clock::now());
         }
-        let known = control.mirror.known_until();
-        control.expire(known);
-        control.registry.borrow_mut().note_synced(known);
-        records::note_followed(&control.followed, known);
+        let known_until = control.mirror.known_until();
+        control.expire(known_until);
+        control.registry.borrow_mut().note_synced(known_until);
+        records::note_followed(&control.synced_until_ms, known_until);
         if self.source.as_ref() != Some(source) {
             journal::write("source", json!({ "of_changes": format!("{source:?}") }));
             self.source = Some(source.clone());
         }
-        // Feeders gather for those who hear from them.
+        // Relays already batch the changes for their followers.
         if changed && *source == Source::Store {
-            tokio::time::sleep(clock::now().until(self.changed_at + GATHER)).await;
+            tokio::time::sleep(clock::now().until(self.changed_at + BATCH_INTERVAL)).await;
             self.changed_at = clock::now();
         }
     }
 
-    async fn missed(&mut self, source: &Source, error: &Error) {
+    async fn on_failure(&mut self, source: &Source, error: &Error) {
         let control = &self.control;
         self.failures.record(source, clock::now());
         if *source == Source::Store {
@@ -220,12 +222,12 @@
             control.mirror.lost();
             journal::dependency("source", "lost", &format!("{source:?}: {error}"));
         }
-        let next = self.choose();
+        let next = self.choose_source();
         if self
             .failures
-            .is_backing_off(&next, &control.place.borrow(), clock::now())
+            .is_backing_off(&next, &control.subscription.borrow(), clock::now())
         {
-            if control.followed_lately.replace(false) {
+            if control.is_following.replace(false) {
                 journal::dependency("store", "lost", &error.to_string());
             }
             tokio::time::sleep(self.backoff.next_delay()).await;
--- a/crates/proxy/src/line/control/testify.rs
+++ b/crates/proxy/src/line/control/record_lookup.rs
@@ -1,4 +1,4 @@
-//! Answers what traffic asks about groups' records, from the store itself.
+//! Reads groups' records directly from the store for the traffic thread.
 
 use std::rc::Rc;
 
@@ -8,14 +8,14 @@
 use crate::line::{
     clock,
     control::{
-        record::{Record, RECORDS},
+        record::{Record, RECORD_PREFIX},
         state::Control,
     },
     journal,
     records::Inquiry,
 };
 
-/// Answers until the process ends.
+/// Serves inquiries until the process ends.
 pub async fn run(control: Rc<Control>, mut inquiries: mpsc::UnboundedReceiver<Inquiry>) {
     while let Some(inquiry) = inquiries.recv().await {
         tokio::task::spawn_local(answer(control.clone(), inquiry));
@@ -23,14 +23,14 @@
 }
 
 async fn answer(control: Rc<Control>, inquiry: Inquiry) {
-    let testimony = testimony(&control, &inquiry.service).await;
-    // Whoever asked may have given up meanwhile.
-    let _ = inquiry.answer.send(testimony);
+    let snapshot = read_snapshot(&control, &inquiry.service).await;
+    // The requester may have been cancelled.
+    let _ = inquiry.answer.send(snapshot);
 }
 
-async fn testimony(control: &Control, service: &str) -> Option<Snapshot> {
+async fn read_snapshot(control: &Control, service: &str) -> Option<Snapshot> {
     let asked = clock::now();
-    let key = format!("{RECORDS}{service}");
+    let key = format!("{RECORD_PREFIX}{service}");
     let item = match control.store().get(&key).await {
         Ok(item) => item?,
         Err(error) => {
@@ -39,9 +39,9 @@
             return None;
         }
     };
-    let record = Record::read(&item)?;
-    // The store came back from a copy, which may be from before a promotion.
-    if !record.is_of(item.revision) {
+    let record = Record::decode(&item)?;
+    // The store was restored from a backup, which may predate a promotion.
+    if !record.is_in_era_of(item.revision) {
         return None;
     }
     Some(Snapshot {
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -1,45 +1,49 @@
-//! Writes the record of a group to the store, and reads it back when that was refused.
+//! Writes the record of a group to the store, and reads it again after a conflict.
 
 use dandelionpitch_platform::store::{Outcome, Write};
 
 use crate::line::{
     clock,
     control::{
-        entry::DUTY,
-        record::{Noted, Record, Stopped, RECORDS},
+        keys::LEADER,
+        record::{Failure, Record, StoredRecord, RECORD_PREFIX},
         state::Control,
     },
     journal,
 };
 
-/// Writes a group's record, on the condition that this process still holds the duty and that the
-/// record is at the revision `known`, on which the new one rests; returns its revision.
+/// Writes a group's record, which is based on the one at the revision `known`; returns its revision.
 ///
-/// Failure: the store took the duty away without this process being told, and another holder
-/// promotes as well; or a new holder has not seen yet that its predecessor promotes a server this
-/// moment. Guard: the store itself refuses the record of a holder that is none, or that knows an
-/// older record.
+/// The store writes it only if this process is still the leader and the stored record is still at
+/// `known`. Otherwise this process could promote a server although its lease has expired and there is
+/// another leader, or a new leader could promote one without having seen a promotion that its
+/// predecessor has just recorded.
+///
+/// # Errors
+///
+/// [`Failure::Conflict`] if a condition does not hold, or [`Failure::Store`] if the call fails; the record
+/// may have been written all the same.
 pub async fn write_record(
     control: &Control,
     service: &str,
     record: &Record,
     known: Option<u64>,
-) -> Result<u64, Stopped> {
-    let value = serde_json::to_vec(record).map_err(|error| Stopped::Store(error.to_string()))?;
-    let key = format!("{RECORDS}{service}");
+) -> Result<u64, Failure> {
+    let value = serde_json::to_vec(record).map_err(|error| Failure::Store(error.to_string()))?;
+    let key = format!("{RECORD_PREFIX}{service}");
     let write = Write {
         key: &key,
         value: &value,
         lease: None,
     };
     let conditions = [
-        (DUTY, record.token),
+        (LEADER, record.token),
         (key.as_str(), known.unwrap_or_default()),
     ];
     match control.store().change(&conditions, &[write], &[]).await {
         Ok(Outcome::Done { revision }) => {
             let mut records = control.records.borrow_mut();
-            Noted::note(
+            StoredRecord::insert(
                 service,
                 record.clone(),
                 revision,
@@ -48,30 +52,31 @@
             );
             Ok(revision)
         }
-        Ok(Outcome::Conflict | Outcome::LeaseNotFound) => Err(Stopped::Conflict),
-        Err(error) => Err(Stopped::Store(error.to_string())),
+        Ok(Outcome::Conflict | Outcome::LeaseNotFound) => Err(Failure::Conflict),
+        Err(error) => Err(Failure::Store(error.to_string())),
     }
 }
 
-/// After a refused record: reads what the store holds, so that the next attempt goes on from it.
-/// The duty is given up only if its key is not this process's any more; a record whose own answer
-/// was lost is refused as well.
-pub async fn resync(control: &Control, service: &str, token: u64) {
+/// Reads a group's record after a conflict, so that the next attempt is based on it.
+///
+/// Gives up the leadership only if the leader's key is no longer this process's. A conflict does not
+/// prove that: it also follows a write that was applied but whose answer was lost.
+pub async fn reload_record(control: &Control, service: &str, token: u64) {
     let store = control.store();
-    let key = format!("{RECORDS}{service}");
+    let key = format!("{RECORD_PREFIX}{service}");
     let read = async {
-        let own = store.get(DUTY).await?;
+        let own = store.get(LEADER).await?;
         match own.is_some_and(|item| item.revision == token) {
             true => store.get(&key).await.map(Some),
             false => Ok(None),
         }
     };
     match read.await {
-        Ok(None) => control.duty.borrow_mut().note_expiry(),
+        Ok(None) => control.election.borrow_mut().note_expiry(),
         Ok(Some(item)) => {
             let mut records = control.records.borrow_mut();
             item.iter()
-                .for_each(|item| Noted::read(item, &mut records, clock::now()));
+                .for_each(|item| StoredRecord::insert_item(item, &mut records, clock::now()));
         }
         Err(error) => journal::trouble("record", &error.to_string()),
     }
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -1,5 +1,5 @@
-//! The control state of the process, all of it on one thread: the configuration, the servers, the
-//! other proxies and the failover duty. Traffic only sees the published [`View`].
+//! The state of the control thread: the configuration, the servers, the other proxies and the failover
+//! leadership. The traffic thread sees only the published [`View`].
 
 use std::{
     cell::{Cell, RefCell},
@@ -32,7 +32,7 @@
     line::{
         clock,
         control::{
-            entry::{self, DUTY},
+            keys::{self, LEADER},
             record,
         },
         journal,
@@ -42,69 +42,71 @@
     metrics::Metrics,
 };
 
-/// The most unreadable entries that are remembered, so that another writer cannot fill the memory.
-const MOST_UNREADABLE: usize = 500;
+/// Bounds the memory for invalid registrations, as other programs write to the same store.
+const MAX_INVALID_REGISTRATIONS: usize = 500;
 
-/// How this proxy takes statements of others.
+/// Where this proxy accepts statements from other proxies, if it does, and its weight among them.
 #[derive(Clone, Copy, Debug)]
-pub struct PeerPort {
+pub struct PeerEndpoint {
     pub address: Option<SocketAddr>,
     pub capacity: f64,
 }
 
-/// The control state.
+/// The state shared by the tasks of the control thread.
 pub struct Control {
-    /// This process's name and incarnation, unique among all that ever ran.
+    /// The proxy's id and start time, unique to this process.
     pub name: String,
-    pub started: Moment,
+    pub started_at: Moment,
     pub id: String,
     pub dc: String,
-    pub peer: PeerPort,
-    /// Within which a new configuration has to be in force.
-    pub config_within: Duration,
+    pub peer: PeerEndpoint,
+    /// The time within which a new configuration must take effect.
+    pub config_deadline: Duration,
     pub metrics: Metrics,
     pub stopping: CancellationToken,
     pub store: RefCell<Store>,
     pub promoter: dandelionpitch_platform::promoter::Promoter,
-    pub duty: RefCell<Election>,
-    /// How many primaries are being replaced by this process.
-    pub attempts: Cell<usize>,
+    pub election: RefCell<Election>,
+    /// The number of active failover attempts.
+    pub active_attempts: Cell<usize>,
     pub registry: RefCell<Registry>,
-    pub records: RefCell<Map<String, record::Noted>>,
+    /// The groups' records by group name.
+    pub records: RefCell<Map<String, record::StoredRecord>>,
     pub(super) catalog: RefCell<Option<Arc<Catalog>>>,
     pub(super) members: RefCell<Members>,
-    /// Entries among the registrations that are none.
-    pub(super) unreadable: RefCell<Set<String>>,
-    /// Whether the last source of changes answered.
-    pub followed_lately: Cell<bool>,
-    /// From whom changes of the store are heard.
-    pub place: RefCell<Subscription>,
-    /// What the store holds, as far as it was heard.
+    /// The ids of servers whose registrations cannot be decoded.
+    pub(super) invalid_registrations: RefCell<Set<String>>,
+    /// Whether any source of changes responds.
+    pub is_following: Cell<bool>,
+    /// The sources of changes of the store.
+    pub subscription: RefCell<Subscription>,
+    /// This process's copy of the store's content.
     pub mirror: Handle,
-    /// Up to when no change of the store was missed, in milliseconds, as traffic sees it.
-    pub followed: Arc<AtomicU64>,
+    /// The time up to which no change of the store was missed, shared with the traffic thread.
+    pub synced_until_ms: Arc<AtomicU64>,
     pub(super) publish: watch::Sender<Arc<View>>,
 }
 
 impl Control {
-    /// A client of the store as it now is.
+    /// A clone of the current store client. Earlier clones keep the connections that
+    /// [`Store::reconnect`] discards.
     pub fn store(&self) -> Store {
         self.store.borrow().clone()
     }
 
-    /// The servers of a group and what is noted of them.
+    /// The servers of a group and the state of their registrations.
     pub fn servers_of(&self, service: &str) -> Vec<Entry> {
         self.registry.borrow().servers_of(service)
     }
 
-    /// The groups of the configuration in force.
+    /// The groups of the current configuration.
     pub fn services(&self) -> Vec<String> {
         let catalog = self.catalog.borrow();
         let services = catalog.iter().flat_map(|catalog| catalog.services.keys());
         services.cloned().collect()
     }
 
-    /// How many replicas a commit of the group waits for.
+    /// How many replicas have to receive a commit of the group.
     pub fn sync_replicas(&self, service: &str) -> u32 {
         let catalog = self.catalog.borrow();
         let service = catalog
@@ -113,30 +115,30 @@
         service.map_or(0, |service| service.sync_replicas)
     }
 
-    /// Where another proxy is reached.
+    /// Where another proxy accepts connections from this one, if it is known.
     pub fn address_of(&self, id: &str) -> Option<SocketAddr> {
         let view = self.publish.borrow();
         let peer = view.peers.iter().find(|peer| peer.id == id);
         peer.map(|peer| peer.address)
     }
 
-    /// Takes everything that is in a store which came back from a copy.
-    pub fn restore(&self, update: &Update<Value>) {
+    /// Applies the complete content of a store that was restored from a backup.
+    pub fn apply_restored(&self, update: &Update<Value>) {
         let now = clock::now();
         journal::write("store restored", json!({ "era": era::of(update.revision) }));
-        self.duty.borrow_mut().note_store_restored(now);
-        self.take_all(&update.changes, Registry::restore);
-        for noted in self.records.borrow_mut().values_mut() {
-            noted.restore(update.revision);
+        self.election.borrow_mut().note_store_restored(now);
+        self.apply_all(&update.changes, Registry::restore);
+        for stored in self.records.borrow_mut().values_mut() {
+            stored.note_store_restored(update.revision);
         }
     }
 
-    /// Takes everything that is in the store.
-    pub fn replace(&self, events: &[Event]) {
-        self.take_all(events, Registry::replace);
+    /// Applies the complete content of the store.
+    pub fn apply_snapshot(&self, events: &[Event]) {
+        self.apply_all(events, Registry::replace);
     }
 
-    fn take_all(&self, events: &[Event], register: fn(&mut Registry, Vec<Server>, Moment)) {
+    fn apply_all(&self, events: &[Event], register: fn(&mut Registry, Vec<Server>, Moment)) {
         let now = clock::now();
         let mut servers = Vec::new();
         let mut members = Vec::new();
@@ -146,14 +148,14 @@
                 continue;
             };
             match store::subject(&item.key) {
-                Subject::Config => self.configure(&item.value),
-                Subject::Server(id) => servers.extend(self.read_server(id, &item.value)),
+                Subject::Config => self.apply_config(&item.value),
+                Subject::Server(id) => servers.extend(self.decode_server(id, &item.value)),
                 Subject::Proxy(key) => {
-                    if key == DUTY {
+                    if key == LEADER {
                         let name = String::from_utf8_lossy(&item.value).into_owned();
                         holder = Some((name, item.revision));
-                    } else if let Some(name) = entry::name(key) {
-                        members.push((name.to_owned(), self.read_peer(name, &item.value)));
+                    } else if let Some(id) = keys::member_id(key) {
+                        members.push((id.to_owned(), self.decode_peer(id, &item.value)));
                     } else {
                         self.note_record(item, now);
                     }
@@ -166,30 +168,30 @@
         let holder = holder
             .as_ref()
             .map(|(name, revision)| (name.as_str(), *revision));
-        self.duty.borrow_mut().note_holder(holder);
+        self.election.borrow_mut().note_holder(holder);
         self.publish();
     }
 
-    /// Takes changes of the store.
-    pub fn apply(&self, events: &[Event]) {
+    /// Applies changes of the store.
+    pub fn apply_changes(&self, events: &[Event]) {
         if events.is_empty() {
             return;
         }
         let now = clock::now();
         for event in events {
             match event {
-                Event::Written(item) => self.written(item, now),
-                Event::Removed { key, .. } => self.removed(key, now),
+                Event::Written(item) => self.apply_write(item, now),
+                Event::Removed { key, .. } => self.apply_removal(key, now),
             }
         }
         self.publish();
     }
 
-    fn written(&self, item: &Item, now: Moment) {
+    fn apply_write(&self, item: &Item, now: Moment) {
         match store::subject(&item.key) {
-            Subject::Config => self.configure(&item.value),
+            Subject::Config => self.apply_config(&item.value),
             Subject::Server(id) => {
-                let Some(server) = self.read_server(id, &item.value) else {
+                let Some(server) = self.decode_server(id, &item.value) else {
                     return self.registry.borrow_mut().mark_missing(id, now);
                 };
                 if self.registry.borrow_mut().put(server.clone(), now) {
@@ -201,16 +203,16 @@
                     );
                 }
             }
-            Subject::Proxy(key) if key == DUTY => {
+            Subject::Proxy(key) if key == LEADER => {
                 let name = String::from_utf8_lossy(&item.value);
-                self.duty
+                self.election
                     .borrow_mut()
                     .note_holder(Some((&name, item.revision)));
             }
-            Subject::Proxy(key) => match entry::name(key) {
-                Some(name) => {
-                    let peer = self.read_peer(name, &item.value);
-                    self.members.borrow_mut().mark_present(name, peer);
+            Subject::Proxy(key) => match keys::member_id(key) {
+                Some(id) => {
+                    let peer = self.decode_peer(id, &item.value);
+                    self.members.borrow_mut().mark_present(id, peer);
                 }
                 None => self.note_record(item, now),
             },
@@ -218,38 +220,38 @@
         }
     }
 
-    fn removed(&self, key: &str, now: Moment) {
+    fn apply_removal(&self, key: &str, now: Moment) {
         match store::subject(key) {
             Subject::Server(id) => {
                 journal::write("server", json!({ "id": id, "missing": true }));
                 self.registry.borrow_mut().mark_missing(id, now);
             }
-            Subject::Proxy(key) if key == DUTY => self.duty.borrow_mut().note_holder(None),
+            Subject::Proxy(key) if key == LEADER => self.election.borrow_mut().note_holder(None),
             Subject::Proxy(key) => {
-                if let Some(name) = entry::name(key) {
-                    self.members.borrow_mut().mark_missing(name, now);
+                if let Some(id) = keys::member_id(key) {
+                    self.members.borrow_mut().mark_missing(id, now);
                 }
             }
             Subject::Config | Subject::Other => {}
         }
     }
 
-    /// Reads a registration; `None` if it is none, as other writers use the same store. That is said
-    /// once, until the entry is readable again.
-    fn read_server(&self, id: &str, value: &[u8]) -> Option<Server> {
-        let mut unreadable = self.unreadable.borrow_mut();
+    /// Decodes a registration. Returns `None` if it is invalid, as other programs write to the same store;
+    /// this is logged once until the registration is valid again.
+    fn decode_server(&self, id: &str, value: &[u8]) -> Option<Server> {
+        let mut invalid = self.invalid_registrations.borrow_mut();
         match registration::decode(id, value) {
             Ok(server) => {
-                if unreadable.remove(id) {
+                if invalid.remove(id) {
                     journal::write("registration", json!({ "id": id, "readable": true }));
                 }
                 Some(server)
             }
             Err(error) => {
                 self.metrics.invalid_entry();
-                let known =
-                    unreadable.len() >= MOST_UNREADABLE || !unreadable.insert(id.to_owned());
-                if !known {
+                let skip_log =
+                    invalid.len() >= MAX_INVALID_REGISTRATIONS || !invalid.insert(id.to_owned());
+                if !skip_log {
                     journal::trouble("registration", &error.to_string());
                 }
                 None
@@ -257,35 +259,37 @@
         }
     }
 
-    /// Reads another proxy's entry; one that is none still counts as a proxy, but gets no statements.
-    fn read_peer(&self, name: &str, value: &[u8]) -> Option<Peer> {
-        entry::peer(name, value).unwrap_or_else(|error| {
+    /// Decodes another proxy's entry. A proxy with an invalid entry shares the connections to the servers
+    /// like any other, but no statements are forwarded to it.
+    fn decode_peer(&self, id: &str, value: &[u8]) -> Option<Peer> {
+        keys::decode_member(id, value).unwrap_or_else(|error| {
             self.metrics.invalid_entry();
-            journal::trouble("member", &format!("{name}: {error}"));
+            journal::trouble("member", &format!("{id}: {error}"));
             None
         })
     }
 
     fn note_record(&self, item: &Item, now: Moment) {
-        record::Noted::read(item, &mut self.records.borrow_mut(), now);
+        record::StoredRecord::insert_item(item, &mut self.records.borrow_mut(), now);
     }
 
-    /// Drops servers whose entries stayed missing up to `known`, until when no change was missed.
-    pub fn expire(&self, known: Moment) {
-        let gone = self.registry.borrow_mut().expire(known);
+    /// Drops servers and proxies that have been missing for too long, and publishes the result. No change
+    /// of the store up to `known_until` was missed.
+    pub fn expire(&self, known_until: Moment) {
+        let expired = self.registry.borrow_mut().expire(known_until);
         let members = self.members.borrow_mut().count(clock::now());
         let peers = self.members.borrow().peers(clock::now());
         let view = self.publish.borrow().clone();
         if (members, &peers) != (view.members, &view.peers) {
             self.publish();
         }
-        if !gone.is_empty() {
-            journal::write("servers gone", json!({ "ids": gone }));
+        if !expired.is_empty() {
+            journal::write("servers gone", json!({ "ids": expired }));
             self.publish();
         }
     }
 
-    fn configure(&self, value: &[u8]) {
+    fn apply_config(&self, value: &[u8]) {
         let catalog = match dandelionpitch_platform::config::decode(value) {
             Ok(catalog) => catalog,
             Err(error) => return journal::trouble("configuration", &error.to_string()),
@@ -302,7 +306,7 @@
         }
     }
 
-    /// Who owns a group, from who owned it in the view `before`.
+    /// Which proxies own a group, derived from the view `before` and the `change` of the proxies since.
     fn ownership(
         &self,
         name: &str,
@@ -338,8 +342,8 @@
             servers.insert(service.clone(), registry.servers_of(service));
         }
         let records = self.records.borrow();
-        let counted = |(name, noted): (&String, &record::Noted)| {
-            let members = noted.record.members.clone();
+        let members_of = |(name, stored): (&String, &record::StoredRecord)| {
+            let members = stored.record.members.clone();
             (name.clone(), members)
         };
         let now = clock::now();
@@ -347,13 +351,13 @@
         let (count, peers) = (members.count(now), members.peers(now));
         let before = self.publish.borrow().clone();
         if before.peers != peers {
-            self.place
+            self.subscription
                 .replace(Subscription::new(&peers, &self.id, &self.dc));
         }
         let mut view = View {
             catalog,
             servers,
-            counted: records.iter().map(counted).collect(),
+            counted: records.iter().map(members_of).collect(),
             members: count,
             peers,
             ownership: Map::default(),
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -20,9 +20,8 @@
     line::{
         clock,
         control::{
-            duty, failover, follow, member,
-            state::{Control, PeerPort},
-            testify,
+            election, failover, follow, heartbeat, record_lookup,
+            state::{Control, PeerEndpoint},
         },
         journal,
         mirror::Handle,
@@ -32,66 +31,67 @@
     },
 };
 
-/// What the control thread shares with traffic.
-pub struct Links {
+/// What the control thread shares with the traffic thread.
+pub struct Channels {
     pub publish: watch::Sender<Arc<View>>,
     pub desk: Desk,
     pub mirror: Handle,
 }
 
-/// Starts the control thread, which runs until the process ends; returns where operators connect.
+/// Starts the control thread, which runs until the process ends. The returned receiver gets the address
+/// of the operator endpoint once it listens.
 pub fn spawn(
     config: &Config,
     line: &Line,
-    peer: PeerPort,
-    links: Links,
+    peer: PeerEndpoint,
+    channels: Channels,
     endpoint: operator::Context,
 ) -> Result<oneshot::Receiver<SocketAddr>, Error> {
-    let started = clock::now();
-    let Links {
+    let started_at = clock::now();
+    let Channels {
         publish,
         desk,
         mirror,
-    } = links;
+    } = channels;
     let store = Store::new(&config.kv)?;
     let (metrics, stopping) = (endpoint.metrics.clone(), endpoint.stopping.clone());
     let (bound, address) = oneshot::channel();
     let endpoint = operator::build(config.operator_listen, endpoint, bound);
-    let counters = line
+    let metrics_endpoint = line
         .metrics
         .map(|address| operator::metrics_only(address, metrics.clone()));
     let promoter = Promoter::new(&format!("http://{}", line.promoter));
     let (id, dc) = (config.id.clone(), config.dc.clone());
-    let config_within = line.config_within;
+    let config_deadline = line.config_within;
     let start = move || {
         let mut registry = Registry::default();
         registry.note_synced(Moment::default());
-        let place = RefCell::new(Subscription::new(&[], &id, &dc));
+        let subscription = RefCell::new(Subscription::new(&[], &id, &dc));
         let control = Rc::new(Control {
-            name: format!("{id}@{}", started.millis()),
-            started,
+            name: format!("{id}@{}", started_at.millis()),
+            started_at,
             id,
             dc,
             peer,
-            config_within,
+            config_deadline,
             metrics,
             stopping,
             store: RefCell::new(store),
             promoter,
-            duty: RefCell::default(),
-            attempts: Cell::default(),
+            election: RefCell::default(),
+            active_attempts: Cell::default(),
             registry: RefCell::new(registry),
             records: RefCell::default(),
             catalog: RefCell::default(),
             members: RefCell::default(),
-            unreadable: RefCell::default(),
-            followed_lately: Cell::new(false),
-            place,
+            invalid_registrations: RefCell::default(),
+            is_following: Cell::new(false),
+            subscription,
             mirror,
-            followed: desk.followed,
+            synced_until_ms: desk.followed,
             publish,
         });
-        run(control, desk.inquiries, endpoint, counters);
+        run(control, desk.inquiries, endpoint, metrics_endpoint);
     };
     std::thread::Builder::new()
         .name("control".to_owned())
@@ -106,7 +106,7 @@
     control: Rc<Control>,
     inquiries: mpsc::UnboundedReceiver<Inquiry>,
     endpoint: Endpoint,
-    counters: Option<Endpoint>,
+    metrics_endpoint: Option<Endpoint>,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -114,12 +114,12 @@
         .expect("the control runtime starts");
     LocalSet::new().block_on(&runtime, async move {
         tokio::task::spawn_local(follow::run(control.clone()));
-        tokio::task::spawn_local(member::run(control.clone()));
-        tokio::task::spawn_local(duty::run(control.clone()));
+        tokio::task::spawn_local(heartbeat::run(control.clone()));
+        tokio::task::spawn_local(election::run(control.clone()));
         tokio::task::spawn_local(failover::run(control.clone()));
-        tokio::task::spawn_local(testify::run(control.clone(), inquiries));
-        if let Some(counters) = counters {
-            tokio::task::spawn_local(serve_counters(counters));
+        tokio::task::spawn_local(record_lookup::run(control.clone(), inquiries));
+        if let Some(metrics_endpoint) = metrics_endpoint {
+            tokio::task::spawn_local(serve_metrics(metrics_endpoint));
         }
         if let Err(error) = endpoint.launch().await {
             journal::trouble("operator endpoint", &error.to_string());
@@ -128,9 +128,9 @@
     });
 }
 
-/// Serves the counters; traffic goes on without them.
-async fn serve_counters(counters: Endpoint) {
-    if let Err(error) = counters.launch().await {
+/// Serves the metrics endpoint. A failure is only logged, as traffic does not depend on it.
+async fn serve_metrics(endpoint: Endpoint) {
+    if let Err(error) = endpoint.launch().await {
         journal::trouble("metrics endpoint", &error.to_string());
     }
 }
