--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -27,7 +27,7 @@
 
 use crate::{
     line::{
-        backend::pool::{Pool, Rank, Wish},
+        backend::pool::{Pool, Rank, Request},
         clock, life,
         reach::{self, Suspicion},
     },
@@ -73,7 +73,7 @@
     /// Its registration: whether it leaves, or is missing.
     entry: RefCell<Entry>,
     /// It stands on the list of those that count for a promotion.
-    pub counted: Cell<bool>,
+    pub is_voter: Cell<bool>,
     life: Cell<Detector>,
     latency: Cell<Mean>,
     avoid_until: Cell<Moment>,
@@ -119,7 +119,7 @@
             pool,
             lost: Cell::default(),
             entry: RefCell::new(entry.clone()),
-            counted: Cell::default(),
+            is_voter: Cell::default(),
             life: Cell::default(),
             latency: Cell::new(Mean::new(FIRST_LATENCY)),
             avoid_until: Cell::default(),
@@ -129,7 +129,7 @@
     }
 
     /// Takes its registration as it now is.
-    pub fn registered(&self, entry: &Entry) {
+    pub fn update_entry(&self, entry: &Entry) {
         *self.entry.borrow_mut() = entry.clone();
     }
 
@@ -154,8 +154,8 @@
     }
 
     /// Whether it counts for a promotion, as far as this proxy knows.
-    pub fn vouches(&self) -> bool {
-        self.counted.get() && !self.is_missing()
+    pub fn counts_for_promotions(&self) -> bool {
+        self.is_voter.get() && !self.is_missing()
     }
 
     /// Notes how long a statement took.
@@ -194,7 +194,7 @@
     }
 
     /// Whether its VM is not there, as far as is known.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_down(&self) -> bool {
         self.lost.get()
     }
 
@@ -203,7 +203,7 @@
     /// Load pattern: a cut parts half of all proxies from the other half for seconds. If statements found out
     /// again and again whether an owner is back, each of those would wait for a connection that does
     /// not come. Guard: one task looks, and statements go to others meanwhile.
-    pub fn lose(self: &Rc<Self>) {
+    pub fn mark_down(self: &Rc<Self>) {
         self.avoid();
         if !self.lost.replace(true) {
             tokio::task::spawn_local(self.clone().look_for());
@@ -211,11 +211,11 @@
     }
 
     /// Finds out whether another proxy is there, without waiting for it.
-    pub fn check(self: &Rc<Self>) {
+    pub fn probe_in_background(self: &Rc<Self>) {
         let peer = self.clone();
         tokio::task::spawn_local(async move {
-            if !peer.is_lost() && !peer.reachable().await {
-                peer.lose();
+            if !peer.is_down() && !peer.reachable().await {
+                peer.mark_down();
             }
         });
     }
@@ -246,7 +246,7 @@
     }
 
     /// Whether the server did not answer a moment ago.
-    pub fn avoided(&self, now: Moment) -> bool {
+    pub fn is_avoided(&self, now: Moment) -> bool {
         now < self.avoid_until.get() || self.pool.resting(now)
     }
 
@@ -271,7 +271,7 @@
                 priority: MOST_IMPORTANT,
                 due: deadline,
             };
-            let lent = self.pool.checkout(&variables, Wish { rank, deadline });
+            let lent = self.pool.checkout(&variables, Request { rank, deadline });
             let Ok(mut checkout) = lent.await else {
                 return Err(Error::Timeout);
             };
--- a/crates/proxy/src/line/backend/pool.rs
+++ b/crates/proxy/src/line/backend/pool.rs
@@ -3,7 +3,7 @@
 //!
 //! [`engine::admission`]: dandelionpitch_engine::admission
 
-pub mod loan;
+pub mod checkout;
 mod waiting;
 
 use std::{
@@ -20,7 +20,7 @@
 use dandelionpitch_platform::{backend::Link, Error};
 use tokio::sync::oneshot;
 
-use self::loan::{Checkout, Place};
+use self::checkout::{Checkout, Place};
 use crate::{
     line::{backend::connection::Connection, clock, journal},
     metrics::Metrics,
@@ -49,7 +49,7 @@
 
 /// What a statement asks of a pool.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
+pub struct Request {
     pub rank: Rank,
     /// When it is of no use any more.
     pub deadline: Moment,
@@ -176,7 +176,7 @@
     }
 
     /// How many connections are open or being opened.
-    pub fn open_now(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.state.borrow().open
     }
 
@@ -191,9 +191,9 @@
     pub async fn checkout(
         self: &Rc<Self>,
         variables: &Variables,
-        wish: Wish,
+        request: Request,
     ) -> Result<Checkout, Miss> {
-        let left = clock::now().until(wish.deadline);
+        let left = clock::now().until(request.deadline);
         if let Some(connection) = self.take_idle(variables) {
             return Ok(self.lend(connection));
         }
@@ -205,7 +205,7 @@
                 opened => return opened,
             }
         }
-        match self.wait(wish).await? {
+        match self.wait(request).await? {
             Grant::Connection(checkout) => Ok(checkout),
             Grant::Room(place) => self.open(place, left).await,
             Grant::Refused { retry_after } => Err(Miss::Refused { retry_after }),
--- a/crates/proxy/src/line/backend/pool/waiting.rs
+++ b/crates/proxy/src/line/backend/pool/waiting.rs
@@ -5,14 +5,14 @@
 use dandelionpitch_engine::admission::{self, Decision, Queue, Queued, Selection};
 use tokio::sync::oneshot;
 
-use super::{loan::Place, Grant, Miss, Pool, Waiter, Wish};
+use super::{checkout::Place, Grant, Miss, Pool, Request, Waiter};
 use crate::line::{backend::connection::Connection, clock};
 
 impl Pool {
     /// Waits for a connection, or is refused.
-    pub(super) async fn wait(&self, wish: Wish) -> Result<Grant, Miss> {
+    pub(super) async fn wait(&self, request: Request) -> Result<Grant, Miss> {
         let (grant, granted) = oneshot::channel();
-        let Wish { rank, deadline } = wish;
+        let Request { rank, deadline } = request;
         let now = clock::now();
         let left = now.until(deadline);
         {
--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -136,7 +136,7 @@
                 Some(backend) => {
                     changed |= backend.server.role != entry.server.role;
                     backend.pool.set_limit(limit);
-                    backend.registered(entry);
+                    backend.update_entry(entry);
                     servers.push(backend.clone());
                 }
                 None => {
@@ -155,7 +155,7 @@
         }
         for backend in &servers {
             let counts = counted.is_some_and(|ids| ids.contains(&backend.server.incarnation));
-            backend.counted.set(counts);
+            backend.is_voter.set(counts);
         }
         *self.counted.borrow_mut() = counted.map(<[Incarnation]>::to_vec);
         *self.servers.borrow_mut() = servers;
@@ -293,7 +293,7 @@
             .collect();
         order.sort_by_key(|backend| {
             let leaving = backend.is_leaving() || backend.is_missing();
-            (backend.avoided(now), leaving)
+            (backend.is_avoided(now), leaving)
         });
         order
     }
--- a/crates/proxy/src/line/group/kept.rs
+++ b/crates/proxy/src/line/group/kept.rs
@@ -117,15 +117,18 @@
     ) -> usize {
         let mut replicas = self.servers();
         replicas.retain(|replica| !Rc::ptr_eq(replica, backend));
-        let vouching = replicas.iter().filter(|replica| replica.vouches()).count();
+        let vouching = replicas
+            .iter()
+            .filter(|replica| replica.counts_for_promotions())
+            .count();
         let proved =
             self.lease.get().excludes_promotion(asked) && self.list() == Membership::Current;
         let hedge = match proved && vouching >= self.sync_replicas.get() {
             true => {
-                replicas.retain(|replica| replica.vouches());
+                replicas.retain(|replica| replica.counts_for_promotions());
                 replicas.sort_by_key(|replica| {
                     let remote = replica.server.dc != self.dc;
-                    (replica.avoided(asked), replica.is_leaving(), remote)
+                    (replica.is_avoided(asked), replica.is_leaving(), remote)
                 });
                 HEDGE
             }
@@ -138,7 +141,7 @@
         while let Ok(Some((replica, answer))) = timeout(patience, answers.next()).await {
             // Its reason was noted where it was asked.
             let Ok(status) = answer else { continue };
-            let (id, vouches) = (&replica.server.incarnation, replica.vouches());
+            let (id, vouches) = (&replica.server.incarnation, replica.counts_for_promotions());
             followers += usize::from(self.note_word(replica, asked, followers + 1, &status));
             commit.note(id, vouches, &status, clock::now());
             if self.is_proved(backend, commit) {
--- a/crates/proxy/src/line/group/proof.rs
+++ b/crates/proxy/src/line/group/proof.rs
@@ -78,7 +78,7 @@
         let mut replicas = self.servers();
         replicas.retain(|backend| !Rc::ptr_eq(backend, &leader.backend));
         let sync_replicas = self.sync_replicas.get();
-        replicas.retain(|backend| !backend.avoided(asked));
+        replicas.retain(|backend| !backend.is_avoided(asked));
         replicas.sort_by_key(|backend| backend.server.dc != self.dc);
         if self.lease.get().is_renewable(asked) {
             replicas.truncate(sync_replicas.max(1));
@@ -242,7 +242,9 @@
 
     /// Notes what the answers of a search prove.
     pub(super) fn note_survey(&self, asked: Moment, statuses: &[(Rc<Backend>, Status)]) {
-        let counting = statuses.iter().filter(|(backend, _)| backend.counted.get());
+        let counting = statuses
+            .iter()
+            .filter(|(backend, _)| backend.is_voter.get());
         let received: Vec<Position> = counting.map(|(_, status)| status.received).collect();
         let Some(counted) = self.counted.borrow().as_ref().map(Vec::len) else {
             return;
--- a/crates/proxy/src/line/peers.rs
+++ b/crates/proxy/src/line/peers.rs
@@ -73,7 +73,7 @@
     /// is enough, the others need not wait for each owner in turn. Of hundreds only some are checked,
     /// or a restart of all proxies would have each of them call on all others.
     pub fn lose(&self, peer: &Rc<Backend>) {
-        peer.lose();
+        peer.mark_down();
         let now = clock::now();
         if now.since(self.checked.get()) < CHECK_EVERY {
             return;
@@ -84,7 +84,9 @@
             .named()
             .into_iter()
             .filter_map(|id| known.get(&id).cloned());
-        owners.take(MOST_CHECKED).for_each(|owner| owner.check());
+        owners
+            .take(MOST_CHECKED)
+            .for_each(|owner| owner.probe_in_background());
     }
 
     /// The proxies that statements go to, those of the own data centre first, each once.
@@ -147,10 +149,10 @@
             .filter_map(|id| known.get(*id).cloned())
             .collect();
         let now = clock::now();
-        if peers.iter().any(|peer| !peer.is_lost()) {
-            peers.retain(|peer| !peer.is_lost());
+        if peers.iter().any(|peer| !peer.is_down()) {
+            peers.retain(|peer| !peer.is_down());
         }
-        peers.sort_by_key(|peer| peer.avoided(now));
+        peers.sort_by_key(|peer| peer.is_avoided(now));
         Some(peers)
     }
 }
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -15,7 +15,7 @@
     line::{
         backend::{
             connection::Question,
-            pool::{Miss, Rank, Wish},
+            pool::{Miss, Rank, Request},
             Backend,
         },
         clock,
@@ -103,13 +103,13 @@
     }
 
     /// What it asks of a pool; the proxy's own questions go first.
-    pub fn wish(&self) -> Wish {
+    pub fn pool_request(&self) -> Request {
         let rank = Rank {
             priority: self.route.priority + 1,
             due: self.arrived + self.route.target,
         };
         let deadline = self.deadline();
-        Wish { rank, deadline }
+        Request { rank, deadline }
     }
 
     /// Before when a commit must have been acknowledged for the statement to see it.
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -9,7 +9,7 @@
 use crate::line::{
     backend::{
         connection::{ask, dress},
-        pool::{loan::Checkout, Miss},
+        pool::{checkout::Checkout, Miss},
         Backend,
     },
     clock,
@@ -78,11 +78,11 @@
     session: &Session,
     call: &Call<'_>,
 ) -> Result<Result<Checkout, Failure>, Miss> {
-    let mut wish = call.wish();
+    let mut request = call.pool_request();
     if let Some(until) = backend.takes_work_until() {
-        wish.deadline = wish.deadline.min(until);
+        request.deadline = request.deadline.min(until);
     }
-    let mut checkout = backend.pool.checkout(session.variables(), wish).await?;
+    let mut checkout = backend.pool.checkout(session.variables(), request).await?;
     if !backend.takes_work(clock::now()) {
         checkout.release();
         let why = "its server leaves";
--- a/crates/proxy/src/line/traffic/run.rs
+++ b/crates/proxy/src/line/traffic/run.rs
@@ -273,7 +273,7 @@
             Ok(answer) => answer,
             Err(why) => {
                 note_failure(group, backend, call, &why);
-                if backend.avoided(clock::now()) {
+                if backend.is_avoided(clock::now()) {
                     group.depose(backend);
                 }
                 let why = format!("outcome unknown: {why}");
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -11,7 +11,7 @@
 use dandelionpitch_platform::backend::{Condition, Query, State, Success};
 
 use crate::line::{
-    backend::{pool::loan::Checkout, Backend},
+    backend::{pool::checkout::Checkout, Backend},
     clock,
     group::Group,
     traffic::{
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -18,7 +18,7 @@
 use dandelionpitch_proxy::{
     line::{
         backend::{
-            pool::{loan::Checkout, Rank, Wish},
+            pool::{checkout::Checkout, Rank, Request},
             Backend,
         },
         clock,
@@ -227,14 +227,14 @@
             for _ in 0..10 {
                 lent.push(checkout(&owner).await);
             }
-            let during_burst = owner.pool.open_now();
+            let during_burst = owner.pool.open_connections();
             lent.into_iter().for_each(Checkout::release);
             for _ in 0..2 {
                 peers.tidy();
                 checkout(&owner).await.release();
             }
             peers.tidy();
-            (during_burst, owner.pool.open_now())
+            (during_burst, owner.pool.open_connections())
         })
         .await;
 
@@ -256,7 +256,7 @@
             let checkouts = (0..100).map(|_| tokio::time::timeout(BURST_TIMEOUT, checkout(&owner)));
             let lent = futures::future::join_all(checkouts).await;
             assert!(lent.iter().any(Result::is_err));
-            owner.pool.open_now()
+            owner.pool.open_connections()
         })
         .await;
 
@@ -272,8 +272,8 @@
         priority: 0,
         due: deadline,
     };
-    let wish = Wish { rank, deadline };
-    let lent = peer.pool.checkout(&Variables::default(), wish).await;
+    let request = Request { rank, deadline };
+    let lent = peer.pool.checkout(&Variables::default(), request).await;
     lent.unwrap_or_else(|error| panic!("no connection: {error:?}"))
 }
 
@@ -298,7 +298,7 @@
         .run_until(async {
             let owner = peers.of(GROUP).expect("owners").remove(0);
             let lent = checkout(&owner).await;
-            let open = owner.pool.open_now();
+            let open = owner.pool.open_connections();
             lent.release();
             open
         })
