--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -1,5 +1,5 @@
-//! One backend server as traffic sees it: its pool, how long it lately took, and whether it is to
-//! be left alone for a moment.
+//! A backend server, or another proxy, as a target of statements: its connection pool, its recent
+//! latency and its health.
 
 pub mod connection;
 pub mod pool;
@@ -34,74 +34,75 @@
     metrics::Metrics,
 };
 
-/// What a statement is first taken to last on a server.
-const FIRST_LATENCY: Duration = Duration::from_millis(30);
+/// The assumed latency of a server on which no statement has run yet.
+const INITIAL_LATENCY: Duration = Duration::from_millis(30);
 
-/// How long a server gets no reads after it failed to answer one.
-const AVOID: Duration = Duration::from_millis(700);
+/// How long a server is avoided after it failed to answer.
+const AVOIDANCE_PERIOD: Duration = Duration::from_millis(700);
 
-/// How long a server may take to say how it stands.
+/// Timeout of a status request, including the wait for a connection.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a VM needs to accept a connection, with two round trips between data centres.
-const REACH_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout for a server's VM to accept a connection; allows two round trips between data centres.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The same for another proxy: no more than a caller can wait for before its statement goes to the next.
-const PEER_REACH_TIMEOUT: Duration = Duration::from_millis(75);
+/// The same for another proxy's VM. Shorter, as the statement is then forwarded to the next proxy.
+const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(75);
 
-/// How long a VM that accepted a connection counts as there.
-const REACH_HOLDS: Duration = Duration::from_millis(200);
+/// How long a VM that accepted a connection counts as reachable.
+const PROBE_VALIDITY: Duration = Duration::from_millis(200);
 
-/// The first and the longest pause between two looks whether a lost proxy is back.
-const LOOK_FIRST: Duration = Duration::from_millis(250);
-const LOOK_LAST: Duration = Duration::from_millis(1_000);
+/// The initial and the maximum backoff between probes of a proxy that is down.
+const MIN_PROBE_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_PROBE_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// After how long without an answer a VM is asked whether it is still there, at the latest: a cut of the
-/// data centre must be noticed however slow its servers were before.
-const MOST_LOOK: Duration = Duration::from_millis(250);
+/// The maximum time without an answer after which a server's VM is probed. It limits the delay that
+/// is derived from the server's latency, so that a partition is detected even if the server was slow.
+const MAX_PROBE_DELAY: Duration = Duration::from_millis(250);
 
-/// The same for another proxy, which leaves time to offer the statement to the next.
-const PEER_MOST_LOOK: Duration = Duration::from_millis(120);
+/// The same for another proxy. Shorter, so that time is left to forward the statement to the next.
+const PEER_MAX_PROBE_DELAY: Duration = Duration::from_millis(120);
 
-/// The priority of the proxy's own questions: they go before all statements, which wait for them.
-const MOST_IMPORTANT: u32 = 0;
+/// The priority of status requests. Callers' statements wait for their results.
+const HIGHEST_PRIORITY: u32 = 0;
 
-/// A backend server.
+/// A backend server or another proxy.
 pub struct Backend {
     pub server: Arc<Server>,
     pub pool: Rc<Pool>,
-    /// Its registration: whether it leaves, or is missing.
+    /// Its registration, which may be leaving or missing.
     entry: RefCell<Entry>,
-    /// It stands on the list of those that count for a promotion.
+    /// Whether it is on the list of servers that count for promotions.
     pub is_voter: Cell<bool>,
-    life: Cell<Detector>,
+    restart_detector: Cell<Detector>,
     latency: Cell<Mean>,
     avoid_until: Cell<Moment>,
-    most_look: Duration,
-    /// How long its VM needs to accept a connection.
-    reached_within: Duration,
-    /// Its VM is not there, and is looked for.
-    lost: Cell<bool>,
-    /// When its VM last accepted a connection made to find out whether it is there.
-    reached: Cell<Moment>,
+    max_probe_delay: Duration,
+    /// Timeout for its VM to accept a connection.
+    probe_timeout: Duration,
+    /// Whether it is a proxy that failed and is being probed until its VM accepts a connection.
+    is_down: Cell<bool>,
+    /// When the last successful probe of its VM started.
+    last_reached: Cell<Moment>,
     suspicion: Suspicion,
 }
 
 impl Backend {
-    /// A server that nothing is known of yet, with `limit` connections at most.
+    /// Creates a server with a pool of at most `limit` connections.
     pub fn new(entry: &Entry, limit: usize, suspicion: Suspicion, metrics: Metrics) -> Rc<Self> {
         let pool = Pool::new(entry.server.clone(), limit, CONNECT_TIMEOUT, metrics);
-        Self::with_pool(entry, pool, (REACH_TIMEOUT, MOST_LOOK), suspicion)
+        Self::with_pool(entry, pool, (PROBE_TIMEOUT, MAX_PROBE_DELAY), suspicion)
     }
 
-    /// Another proxy, spoken to as a server is. Its VM accepts a connection however busy its process is, so one
-    /// that has not by then is not there.
+    /// Creates another proxy, to which statements are forwarded over a pool of at most `limit`
+    /// connections. The kernel of its VM accepts connections even when the process is busy, so the
+    /// short connect timeout detects only an unreachable VM.
     pub fn peer(entry: &Entry, limit: usize, metrics: Metrics) -> Rc<Self> {
-        let pool = Pool::new(entry.server.clone(), limit, PEER_REACH_TIMEOUT, metrics);
+        let pool = Pool::new(entry.server.clone(), limit, PEER_CONNECT_TIMEOUT, metrics);
         Self::with_pool(
             entry,
             pool,
-            (PEER_REACH_TIMEOUT, PEER_MOST_LOOK),
+            (PEER_CONNECT_TIMEOUT, PEER_MAX_PROBE_DELAY),
             Suspicion::default(),
         )
     }
@@ -109,148 +110,150 @@
     fn with_pool(
         entry: &Entry,
         pool: Rc<Pool>,
-        (reached_within, most_look): (Duration, Duration),
+        (probe_timeout, max_probe_delay): (Duration, Duration),
         suspicion: Suspicion,
     ) -> Rc<Self> {
         Rc::new(Self {
-            reached_within,
-            most_look,
+            probe_timeout,
+            max_probe_delay,
             server: entry.server.clone(),
             pool,
-            lost: Cell::default(),
+            is_down: Cell::default(),
             entry: RefCell::new(entry.clone()),
             is_voter: Cell::default(),
-            life: Cell::default(),
-            latency: Cell::new(Mean::new(FIRST_LATENCY)),
+            restart_detector: Cell::default(),
+            latency: Cell::new(Mean::new(INITIAL_LATENCY)),
             avoid_until: Cell::default(),
-            reached: Cell::default(),
+            last_reached: Cell::default(),
             suspicion,
         })
     }
 
-    /// Takes its registration as it now is.
+    /// Replaces its registration.
     pub fn update_entry(&self, entry: &Entry) {
         *self.entry.borrow_mut() = entry.clone();
     }
 
-    /// Whether it may be given new work.
+    /// Whether it may be given new statements.
     pub fn takes_work(&self, now: Moment) -> bool {
         self.entry.borrow().takes_work(now)
     }
 
-    /// Until when it may be given new work, if it leaves.
+    /// When it stops accepting new statements, if it is leaving.
     pub fn takes_work_until(&self) -> Option<Moment> {
         self.entry.borrow().takes_work_until()
     }
 
-    /// Whether it will stop soon.
+    /// Whether it has announced that it will stop.
     pub fn is_leaving(&self) -> bool {
         self.entry.borrow().leaving_since.is_some()
     }
 
-    /// Whether its registration is missing.
+    /// Whether its registration is missing from the store.
     pub fn is_missing(&self) -> bool {
         self.entry.borrow().missing_since.is_some()
     }
 
-    /// Whether it counts for a promotion, as far as this proxy knows.
+    /// Whether it is registered and counts for promotions, as far as this proxy knows.
     pub fn counts_for_promotions(&self) -> bool {
         self.is_voter.get() && !self.is_missing()
     }
 
-    /// Notes how long a statement took.
-    pub fn took(&self, length: Duration) {
+    /// Adds the duration of a statement to the mean latency.
+    pub fn record_latency(&self, elapsed: Duration) {
         let mut latency = self.latency.get();
-        latency.record(length);
+        latency.record(elapsed);
         self.latency.set(latency);
     }
 
-    /// How long statements have lately taken.
+    /// The mean latency of recent statements.
     pub fn latency(&self) -> Duration {
         self.latency.get().value()
     }
 
-    /// Whether the server's VM is there, so that waiting for an answer makes sense.
+    /// Whether the server's VM is reachable, by probing it with a new connection. If it is not, the
+    /// server is avoided.
     ///
-    /// Failure: a connection to a VM that lost its power or its network stays silent, and
-    /// whoever waits on it learns nothing until a timeout. Guard: after a while without an answer
-    /// the VM is asked for a new connection, which its kernel accepts however busy it is.
-    pub async fn reachable(&self) -> bool {
+    /// An open connection to a VM that lost power or network shows no error before a timeout. A new
+    /// one is accepted by the VM's kernel even when the VM is busy, so a failure proves that waiting
+    /// for an answer is pointless.
+    pub async fn is_reachable(&self) -> bool {
         let asked = clock::now();
-        if asked.since(self.reached.get()) < REACH_HOLDS {
+        if asked.since(self.last_reached.get()) < PROBE_VALIDITY {
             return true;
         }
-        let reached = reach::connects(self.server.address, self.reached_within).await;
+        let reached = reach::connects(self.server.address, self.probe_timeout).await;
         match reached {
-            true => self.reached.set(asked),
-            false => self.unreachable(),
+            true => self.last_reached.set(asked),
+            false => self.note_unreachable(),
         }
         reached
     }
 
-    /// After how long without an answer its VM is asked whether it is there, at the latest.
-    pub fn most_look(&self) -> Duration {
-        self.most_look
+    /// The maximum time without an answer after which its VM is probed.
+    pub fn max_probe_delay(&self) -> Duration {
+        self.max_probe_delay
     }
 
-    /// Whether its VM is not there, as far as is known.
+    /// Whether it is a proxy that failed and whose VM has not accepted a connection since.
     pub fn is_down(&self) -> bool {
-        self.lost.get()
+        self.is_down.get()
     }
 
-    /// Has another proxy that failed left alone until its VM accepts a connection.
+    /// Marks another proxy as down until its VM accepts a connection.
     ///
-    /// Load pattern: a cut parts half of all proxies from the other half for seconds. If statements found out
-    /// again and again whether an owner is back, each of those would wait for a connection that does
-    /// not come. Guard: one task looks, and statements go to others meanwhile.
+    /// A single background task probes the VM. If statements did so instead, many of them would wait
+    /// for connection attempts that time out while the network is partitioned.
     pub fn mark_down(self: &Rc<Self>) {
         self.avoid();
-        if !self.lost.replace(true) {
-            tokio::task::spawn_local(self.clone().look_for());
+        if !self.is_down.replace(true) {
+            tokio::task::spawn_local(self.clone().probe_until_up());
         }
     }
 
-    /// Finds out whether another proxy is there, without waiting for it.
+    /// Probes another proxy's VM without waiting for the result, and marks the proxy as down if the
+    /// probe fails.
     pub fn probe_in_background(self: &Rc<Self>) {
         let peer = self.clone();
         tokio::task::spawn_local(async move {
-            if !peer.is_down() && !peer.reachable().await {
+            if !peer.is_down() && !peer.is_reachable().await {
                 peer.mark_down();
             }
         });
     }
 
-    async fn look_for(self: Rc<Self>) {
-        let mut pause = LOOK_FIRST;
+    async fn probe_until_up(self: Rc<Self>) {
+        let mut backoff = MIN_PROBE_BACKOFF;
         while !self.pool.is_closed() {
-            if reach::connects(self.server.address, self.reached_within).await {
+            if reach::connects(self.server.address, self.probe_timeout).await {
                 break;
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LOOK_LAST);
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_PROBE_BACKOFF);
         }
-        // Its process may be frozen though its VM accepts connections, so it is avoided for a while longer.
-        self.lost.set(false);
+        // The process may hang although the VM accepts connections, so `avoid_until` still applies.
+        self.is_down.set(false);
     }
 
-    /// Notes that the server could not be reached.
-    pub fn unreachable(&self) {
+    /// Avoids the server, as it could not be reached, and requests a check whether this proxy's data
+    /// centre is partitioned.
+    pub fn note_unreachable(&self) {
         self.avoid();
         self.suspicion.notify_one();
     }
 
-    /// Leaves the server alone for a while: it did not answer.
+    /// Avoids the server for a while, as it did not answer, and closes its idle connections.
     pub fn avoid(&self) {
-        self.avoid_until.set(clock::now() + AVOID);
+        self.avoid_until.set(clock::now() + AVOIDANCE_PERIOD);
         self.pool.close_idle();
     }
 
-    /// Whether the server did not answer a moment ago.
+    /// Whether the server failed recently and should be used only if there is no other.
     pub fn is_avoided(&self, now: Moment) -> bool {
-        now < self.avoid_until.get() || self.pool.resting(now)
+        now < self.avoid_until.get() || self.pool.is_backing_off(now)
     }
 
-    /// What placement goes by.
+    /// The input for ordering servers by expected latency. `dc` is this proxy's data centre.
     pub fn candidate(&self, primary: bool, dc: &str) -> Candidate {
         Candidate {
             pending: self.pool.pending(),
@@ -261,36 +264,42 @@
         }
     }
 
-    /// Asks the server how it stands.
+    /// Requests the server's status. Returns an error if it does not answer within the status timeout,
+    /// or if the status is from another incarnation than the registered one.
     pub async fn status(&self) -> Result<Status, Error> {
         let asked = clock::now();
-        let ask = async {
+        let request = async {
             let variables = Variables::default();
             let deadline = clock::now() + STATUS_TIMEOUT;
             let rank = Rank {
-                priority: MOST_IMPORTANT,
+                priority: HIGHEST_PRIORITY,
                 due: deadline,
             };
-            let lent = self.pool.checkout(&variables, Request { rank, deadline });
-            let Ok(mut checkout) = lent.await else {
+            let acquiring = self.pool.checkout(&variables, Request { rank, deadline });
+            let Ok(mut checkout) = acquiring.await else {
                 return Err(Error::Timeout);
             };
             let status = checkout.connection().link.status(Command::Status).await;
             match status {
-                // A refusal is a whole answer, so the connection is at rest.
+                // A refusal is a complete answer, so the connection is idle.
                 Ok(_) | Err(Error::Refused(_)) => checkout.release(),
                 Err(_) => drop(checkout),
             }
             status
         };
-        let status = match tokio::time::timeout(STATUS_TIMEOUT, ask).await {
+        let status = match tokio::time::timeout(STATUS_TIMEOUT, request).await {
             Ok(status) => status,
             Err(_) => Err(Error::Timeout),
         };
         if matches!(status, Err(Error::Timeout)) {
-            // Only for what it notes: a server that is there may just be busy.
-            self.reachable().await;
+            // Called for its side effects. A reachable server may just be busy and is not avoided.
+            self.is_reachable().await;
         }
-        life::admit(&self.life, &self.server.incarnation, status?, asked)
+        life::admit(
+            &self.restart_detector,
+            &self.server.incarnation,
+            status?,
+            asked,
+        )
     }
 }
--- a/crates/proxy/src/line/backend/connection.rs
+++ b/crates/proxy/src/line/backend/connection.rs
@@ -1,4 +1,5 @@
-//! An open connection to a backend server, and what the sessions before left on it.
+//! An open connection to a backend server and the session state set on it: variables and prepared
+//! statements.
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
@@ -10,58 +11,59 @@
     Error,
 };
 
-/// An open connection and what was left on it.
+/// An open connection and its session state.
 #[derive(Debug)]
 pub struct Connection {
     pub link: Link,
-    /// The session values in force on it.
+    /// The session variables that are set on it.
     pub variables: Variables,
-    /// The named statements on it.
-    pub names: Map<Definition, String>,
-    /// It may hold values that are not in `values`.
-    pub unclear: bool,
+    /// The statements prepared on it and their names there.
+    pub prepared: Map<Definition, String>,
+    /// Whether the variables set on it may differ from `variables`.
+    pub is_dirty: bool,
 }
 
 impl Connection {
-    /// How much it takes to make its values those wanted: nothing, setting some, or clearing all.
-    pub fn effort(&self, wanted: &Variables) -> u8 {
-        let foreign = || self.variables.keys().any(|name| !wanted.contains_key(name));
-        match (self.unclear, &self.variables == wanted) {
+    /// The cost of changing its variables to `wanted`: 0 if they are equal, 1 if some must be set, 2 if
+    /// all must be reset first.
+    pub fn setup_cost(&self, wanted: &Variables) -> u8 {
+        let has_extra = || self.variables.keys().any(|name| !wanted.contains_key(name));
+        match (self.is_dirty, &self.variables == wanted) {
             (false, true) => 0,
-            (false, false) if !foreign() => 1,
+            (false, false) if !has_extra() => 1,
             _ => 2,
         }
     }
 
-    /// A connection that nobody has used yet.
+    /// Wraps a newly opened connection, on which nothing is set.
     pub fn new(link: Link) -> Self {
         Self {
             link,
             variables: Variables::default(),
-            names: Map::default(),
-            unclear: false,
+            prepared: Map::default(),
+            is_dirty: false,
         }
     }
 }
 
-/// Makes the connection's values those of the session, in one write.
+/// Sets the connection's variables to those of the session, in one write.
 ///
-/// Failure: a connection still has a value of the session before, and a statement runs under what
-/// its caller never set. Guard: values that the session does not have are cleared first, and
-/// nothing else is sent before all of it is acknowledged.
-pub async fn dress(connection: &mut Connection, session: &Session) -> Result<(), Error> {
+/// Variables of an earlier session must not affect the caller's statements: if there are any, all
+/// are reset first. Nothing else is sent before every change is acknowledged. After an error the
+/// connection is dirty.
+pub async fn sync_variables(connection: &mut Connection, session: &Session) -> Result<(), Error> {
     let wanted = session.variables();
-    if !connection.unclear && connection.variables == *wanted {
+    if !connection.is_dirty && connection.variables == *wanted {
         return Ok(());
     }
-    let foreign = connection
+    let has_extra = connection
         .variables
         .keys()
         .any(|name| !wanted.contains_key(name));
     let mut queries = Vec::new();
-    if connection.unclear || foreign {
+    if connection.is_dirty || has_extra {
         queries.push(Query::Reset);
-        connection.names.clear();
+        connection.prepared.clear();
         connection.variables = Default::default();
     }
     for (name, value) in wanted.iter() {
@@ -69,35 +71,36 @@
             queries.push(Query::Set { name, value });
         }
     }
-    connection.unclear = true;
+    connection.is_dirty = true;
     connection.link.send(&queries).await?;
     for _ in &queries {
         connection.link.read_answer().await?.result?;
     }
     connection.variables = wanted.clone();
-    connection.unclear = false;
+    connection.is_dirty = false;
     Ok(())
 }
 
-/// A caller's statement as it is sent.
+/// A caller's statement as sent to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
+pub struct Statement<'a> {
     pub id: &'a str,
     pub text: &'a str,
     pub execution: Option<&'a Execution>,
 }
 
-/// Sends a statement and reads its answer, preparing the named statement first if it has to.
-pub async fn ask(
+/// Sends a statement and reads its answer. A prepared statement is first prepared on the connection
+/// if necessary, in the same write.
+pub async fn execute(
     connection: &mut Connection,
-    question: Question<'_>,
+    statement: Statement<'_>,
     condition: Condition<'_>,
 ) -> Result<Answer, Error> {
-    let Question {
+    let Statement {
         id,
         text,
         execution,
-    } = question;
+    } = statement;
     let Some(Execution {
         definition,
         arguments,
@@ -110,10 +113,10 @@
         };
         return connection.link.query(query).await;
     };
-    let known = connection.names.get(definition).cloned();
+    let known = connection.prepared.get(definition).cloned();
     let name = match &known {
         Some(name) => name.clone(),
-        None => format!("p{}", connection.names.len() + 1),
+        None => format!("p{}", connection.prepared.len() + 1),
     };
     let run = Query::Named {
         id,
@@ -129,10 +132,10 @@
         definition,
     };
     connection.link.send(&[prepare, run]).await?;
-    let prepared = connection.link.read_answer().await?;
+    let preparation = connection.link.read_answer().await?;
     let answer = connection.link.read_answer().await?;
-    if prepared.result.is_ok() {
-        connection.names.insert(definition.clone(), name);
+    if preparation.result.is_ok() {
+        connection.prepared.insert(definition.clone(), name);
     }
     Ok(answer)
 }
--- a/crates/proxy/src/line/backend/pool.rs
+++ b/crates/proxy/src/line/backend/pool.rs
@@ -1,10 +1,11 @@
-//! The connections of this proxy to one backend server, lent to one statement or transaction at a
-//! time. Whether a statement waits or is refused is decided by [`engine::admission`]; `waiting` carries it out.
+//! The connection pool of one backend server. A connection is used by one statement or transaction
+//! at a time. Whether a statement waits for a connection or is refused is decided by
+//! [`engine::admission`]; `queue` applies the decision.
 //!
 //! [`engine::admission`]: dandelionpitch_engine::admission
 
 pub mod checkout;
-mod waiting;
+mod queue;
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,61 +18,62 @@
 use dandelionpitch_engine::{
     admission::Mean, refusal::Code, registry::Server, session::Variables, time::Moment,
 };
-use dandelionpitch_platform::{backend::Link, Error};
+use dandelionpitch_platform::{backend::Link, Error as LinkError};
 use tokio::sync::oneshot;
 
-use self::checkout::{Checkout, Place};
+use self::checkout::{Checkout, Permit};
 use crate::{
     line::{backend::connection::Connection, clock, journal},
     metrics::Metrics,
 };
 
-/// How long opening a connection may take. It takes a slot of the server, behind whatever waits there.
+/// Timeout for opening a connection. The server processes the start message like a statement, after
+/// those already in its queue.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long no connection is opened after the server had no room for one more.
-const FULL_PAUSE: Duration = Duration::from_millis(500);
+/// How long no connection is opened after the server refused one because of its connection limit.
+const FULL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// How long a server is left alone after it could not be reached.
-const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
+/// How long no connection is opened after the server could not be reached.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What a connection is first taken to be held for: one statement of usual length.
-const FIRST_HOLD: Duration = Duration::from_millis(30);
+/// The assumed time for which a connection is held, before any connection has been returned.
+const INITIAL_HOLD: Duration = Duration::from_millis(30);
 
-/// What decides which of the waiting statements is served next: the more important one, then the
-/// one that should be answered first.
+/// The order in which waiting statements get a connection: by priority, then by due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// 0 is the most important.
+    /// 0 is the highest priority.
     pub priority: u32,
+    /// When the statement should be answered.
     pub due: Moment,
 }
 
-/// What a statement asks of a pool.
+/// A request for a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     pub rank: Rank,
-    /// When it is of no use any more.
+    /// When the statement times out.
     pub deadline: Moment,
 }
 
-/// Why there is no connection.
+/// Why a pool provides no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
-    /// It would come too late.
+pub enum Error {
+    /// Admission control refused the statement; the caller may retry after `retry_after`.
     Refused { retry_after: Duration },
-    /// The server cannot be reached, or is not the expected one.
+    /// The server cannot be reached, has been removed, or another server has its address.
     Unreachable,
-    /// The server takes no more connections.
-    Full,
+    /// The server's connection limit is reached.
+    TooManyConnections,
 }
 
-/// What a waiting statement is given. Both kinds give back what they hold when they are dropped, so
-/// a caller that leaves in that instant takes nothing with it.
+/// What a waiting statement receives. A connection or permit is returned to the pool when dropped, so
+/// none is lost if the statement stops waiting while it is being granted.
 enum Grant {
     Connection(Checkout),
-    Room(Place),
-    /// None: it would be of no use any more.
+    Permit(Permit),
+    /// The statement cannot finish before its deadline.
     Refused {
         retry_after: Duration,
     },
@@ -86,33 +88,36 @@
 #[derive(Default)]
 struct State {
     idle: Vec<Connection>,
-    /// Connections that are open or being opened.
+    /// The number of connections that are open or being opened.
     open: usize,
     waiting: VecDeque<Waiter>,
-    /// How many connections were idle all the time since the last [`Pool::shrink`].
-    unused: usize,
-    /// The server is gone: nothing is lent or kept any more.
+    /// The lowest number of idle connections since the last [`Pool::shrink`].
+    min_idle: usize,
+    /// Whether the server was removed. Connections are then neither provided nor kept.
     closed: bool,
 }
 
-/// The pool of one server.
+/// The connection pool of one server.
 pub struct Pool {
     server: Arc<Server>,
     metrics: Metrics,
     state: RefCell<State>,
     limit: Cell<usize>,
-    /// How long the server's VM may take to accept a connection.
-    accepts_within: Duration,
+    /// Timeout for the server's VM to accept a connection.
+    connect_timeout: Duration,
+    /// The mean time for which a connection is held.
     hold: Cell<Mean>,
-    rest_until: Cell<Moment>,
+    /// No connection is opened before this time.
+    backoff_until: Cell<Moment>,
 }
 
 impl Pool {
-    /// An empty pool that may open `limit` connections to a VM that accepts each `accepts_within`.
+    /// Creates an empty pool of at most `limit` connections. `connect_timeout` is the timeout for
+    /// establishing a TCP connection.
     pub fn new(
         server: Arc<Server>,
         limit: usize,
-        accepts_within: Duration,
+        connect_timeout: Duration,
         metrics: Metrics,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -120,13 +125,13 @@
             metrics,
             state: RefCell::default(),
             limit: Cell::new(limit),
-            accepts_within,
-            hold: Cell::new(Mean::new(FIRST_HOLD)),
-            rest_until: Cell::default(),
+            connect_timeout,
+            hold: Cell::new(Mean::new(INITIAL_HOLD)),
+            backoff_until: Cell::default(),
         })
     }
 
-    /// Changes how many connections may be open; idle ones above it are closed.
+    /// Changes the maximum number of connections; excess idle connections are closed.
     pub fn set_limit(&self, limit: usize) {
         self.limit.set(limit);
         let mut state = self.state.borrow_mut();
@@ -135,23 +140,23 @@
         }
     }
 
-    /// How many connections may be open.
+    /// The maximum number of connections.
     pub fn limit(&self) -> usize {
         self.limit.get()
     }
 
-    /// Statements that have a connection or wait for one.
+    /// The number of statements that have a connection or wait for one.
     pub fn pending(&self) -> usize {
         let state = self.state.borrow();
         state.open - state.idle.len() + state.waiting.len()
     }
 
-    /// Whether the server was unreachable or full a moment ago and nothing is open to it.
-    pub fn resting(&self, now: Moment) -> bool {
-        now < self.rest_until.get() && self.state.borrow().open == 0
+    /// Whether opening a connection failed recently and no other connection is open.
+    pub fn is_backing_off(&self, now: Moment) -> bool {
+        now < self.backoff_until.get() && self.state.borrow().open == 0
     }
 
-    /// Closes idle connections and refuses all who wait: the server is gone.
+    /// Closes the pool of a removed server: closes idle connections and fails waiting statements.
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
         state.closed = true;
@@ -160,74 +165,75 @@
         state.waiting.clear();
     }
 
-    /// Whether the server is gone.
+    /// Whether the pool was closed because its server was removed.
     pub fn is_closed(&self) -> bool {
         self.state.borrow().closed
     }
 
-    /// Closes the connections that were idle all the time since the last call, but for `spare`.
+    /// Closes connections that were not needed since the last call, but keeps `spare` of them.
     pub fn shrink(&self, spare: usize) {
         let mut state = self.state.borrow_mut();
-        let excess = state.unused.min(state.idle.len()).saturating_sub(spare);
-        // Those that were used last are taken first, so the others stand in front.
+        let excess = state.min_idle.min(state.idle.len()).saturating_sub(spare);
+        // Returned connections go to the back, so those at the front have been idle the longest.
         state.idle.drain(..excess);
         state.open -= excess;
-        state.unused = state.idle.len();
+        state.min_idle = state.idle.len();
     }
 
-    /// How many connections are open or being opened.
+    /// The number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.state.borrow().open
     }
 
-    /// Closes the idle connections: they may have gone silent.
+    /// Closes the idle connections, for example because the server may have become unreachable.
     pub fn close_idle(&self) {
         let mut state = self.state.borrow_mut();
         state.open -= state.idle.len();
         state.idle.clear();
     }
 
-    /// Lends a connection, preferring one that already has `values`.
+    /// Returns a connection, preferring an idle one whose variables are closest to `variables`. Opens a
+    /// connection or waits for one if none is idle.
     pub async fn checkout(
         self: &Rc<Self>,
         variables: &Variables,
         request: Request,
-    ) -> Result<Checkout, Miss> {
+    ) -> Result<Checkout, Error> {
         let left = clock::now().until(request.deadline);
         if let Some(connection) = self.take_idle(variables) {
-            return Ok(self.lend(connection));
+            return Ok(self.new_checkout(connection));
         }
-        if self.may_open() {
+        if self.can_open() {
             self.state.borrow_mut().open += 1;
-            match self.open(Place::new(self.clone()), left).await {
-                // No room for one more: those that are open will be free in a moment.
-                Err(Miss::Full) if self.state.borrow().open > 0 => {}
+            match self.open(Permit::new(self.clone()), left).await {
+                // The server accepts no more connections: wait for one of the open ones.
+                Err(Error::TooManyConnections) if self.state.borrow().open > 0 => {}
                 opened => return opened,
             }
         }
         match self.wait(request).await? {
             Grant::Connection(checkout) => Ok(checkout),
-            Grant::Room(place) => self.open(place, left).await,
-            Grant::Refused { retry_after } => Err(Miss::Refused { retry_after }),
+            Grant::Permit(permit) => self.open(permit, left).await,
+            Grant::Refused { retry_after } => Err(Error::Refused { retry_after }),
         }
     }
 
-    fn may_open(&self) -> bool {
+    fn can_open(&self) -> bool {
         let state = self.state.borrow();
         let limit = self.limit.get();
-        state.open < limit && !state.closed && clock::now() >= self.rest_until.get()
+        state.open < limit && !state.closed && clock::now() >= self.backoff_until.get()
     }
 
     fn take_idle(&self, variables: &Variables) -> Option<Box<Connection>> {
         let mut state = self.state.borrow_mut();
         loop {
-            let effort = |(index, connection): &(usize, &Connection)| {
-                (connection.effort(variables), std::cmp::Reverse(*index))
+            let setup_cost = |(index, connection): &(usize, &Connection)| {
+                (connection.setup_cost(variables), std::cmp::Reverse(*index))
             };
-            let easiest = state.idle.iter().enumerate().min_by_key(effort);
-            let Some((index, _)) = easiest else { break };
+            let cheapest = state.idle.iter().enumerate().min_by_key(setup_cost);
+            let Some((index, _)) = cheapest else { break };
             let connection = state.idle.remove(index);
-            state.unused = state.unused.min(state.idle.len());
+            state.min_idle = state.min_idle.min(state.idle.len());
             if connection.link.is_idle() {
                 return Some(Box::new(connection));
             }
@@ -236,51 +242,51 @@
         None
     }
 
-    fn lend(self: &Rc<Self>, connection: Box<Connection>) -> Checkout {
+    fn new_checkout(self: &Rc<Self>, connection: Box<Connection>) -> Checkout {
         Checkout {
             connection: Some(connection),
             pool: self.clone(),
-            since: clock::now(),
+            checked_out_at: clock::now(),
         }
     }
 
-    /// Opens a connection whose place is already counted.
-    async fn open(self: &Rc<Self>, place: Place, left: Duration) -> Result<Checkout, Miss> {
+    /// Opens a connection with `permit`, within at most `left`.
+    async fn open(self: &Rc<Self>, permit: Permit, left: Duration) -> Result<Checkout, Error> {
         if self.state.borrow().closed {
-            return Err(Miss::Unreachable);
+            return Err(Error::Unreachable);
         }
         let server = &self.server;
         let (address, id) = (server.address, server.id());
-        let open = Link::open_with_timeout(self.accepts_within, address, &server.service, id);
+        let connect = Link::open_with_timeout(self.connect_timeout, address, &server.service, id);
         let limit = OPEN_TIMEOUT.min(left);
-        let (miss, why, pause) = match tokio::time::timeout(limit, open).await {
+        let (error, why, backoff) = match tokio::time::timeout(limit, connect).await {
             Ok(Ok(link)) => {
-                place.keep();
+                permit.forget();
                 self.metrics.connection(&server.service);
-                return Ok(self.lend(Box::new(Connection::new(link))));
+                return Ok(self.new_checkout(Box::new(Connection::new(link))));
             }
-            Ok(Err(Error::Refused(refusal))) if refusal.code == Code::TooManyConnections => {
-                (Miss::Full, refusal.to_string(), FULL_PAUSE)
+            Ok(Err(LinkError::Refused(refusal))) if refusal.code == Code::TooManyConnections => {
+                (Error::TooManyConnections, refusal.to_string(), FULL_BACKOFF)
             }
-            Ok(Err(error)) => (Miss::Unreachable, error.to_string(), UNREACHABLE_PAUSE),
+            Ok(Err(error)) => (Error::Unreachable, error.to_string(), UNREACHABLE_BACKOFF),
             Err(_) => (
-                Miss::Unreachable,
+                Error::Unreachable,
                 format!("no connection within {limit:?}"),
-                UNREACHABLE_PAUSE,
+                UNREACHABLE_BACKOFF,
             ),
         };
-        self.rest_until.set(clock::now() + pause);
+        self.backoff_until.set(clock::now() + backoff);
         journal::write(
             "connect",
             serde_json::json!({ "server": server.id(), "service": server.service,
                 "address": server.address.to_string(), "open": self.state.borrow().open, "why": why }),
         );
-        Err(miss)
+        Err(error)
     }
 
-    fn held(&self, since: Moment) {
+    fn record_hold(&self, checked_out_at: Moment) {
         let mut hold = self.hold.get();
-        hold.record(clock::now().since(since));
+        hold.record(clock::now().since(checked_out_at));
         self.hold.set(hold);
     }
 }
--- a/crates/proxy/src/line/backend/pool/checkout.rs
+++ b/crates/proxy/src/line/backend/pool/checkout.rs
@@ -1,4 +1,5 @@
-//! What a pool lends: a connection, or the place to open one. Dropped, each goes back by itself.
+//! Connections taken from a pool, and permits to open one. Both are returned to the pool when
+//! dropped.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -7,40 +8,40 @@
 use super::Pool;
 use crate::line::backend::connection::Connection;
 
-/// A connection on loan. Dropped without [`Checkout::release`], it is closed, which rolls back
-/// whatever is open on it.
+/// A connection taken from a pool. If it is dropped without [`Checkout::release`], the connection is
+/// closed, which rolls back any open transaction.
 pub struct Checkout {
     pub(super) connection: Option<Box<Connection>>,
     pub(super) pool: Rc<Pool>,
-    pub(super) since: Moment,
+    pub(super) checked_out_at: Moment,
 }
 
-/// A counted place for a connection that is being opened; dropped, it is free again.
-pub struct Place {
+/// A permit to open a connection, which counts towards the pool's limit until it is dropped.
+pub struct Permit {
     pool: Rc<Pool>,
-    counted: bool,
+    is_held: bool,
 }
 
-impl Place {
+impl Permit {
     pub fn new(pool: Rc<Pool>) -> Self {
-        let counted = true;
-        Self { pool, counted }
+        let is_held = true;
+        Self { pool, is_held }
     }
 
-    /// The place is taken by a connection now.
-    pub fn keep(mut self) {
-        self.counted = false;
+    /// Consumes the permit without returning it: the connection was opened and counts instead.
+    pub fn forget(mut self) {
+        self.is_held = false;
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
-        if !self.counted {
+        if !self.is_held {
             return;
         }
         let mut state = self.pool.state.borrow_mut();
         state.open -= 1;
-        // Those who wait for a connection that will not come are told at once.
+        // No connection is left to wait for: dropping the senders fails the waiting statements at once.
         if state.open == 0 {
             state.waiting.clear();
         }
@@ -48,23 +49,22 @@
 }
 
 impl Checkout {
-    /// The connection.
     pub fn connection(&mut self) -> &mut Connection {
         self.connection
             .as_mut()
             .expect("a checkout has its connection until it is released")
     }
 
-    /// The server it leads to.
+    /// The server to which it is connected.
     pub fn server(&self) -> &Arc<Server> {
         &self.pool.server
     }
 
-    /// Gives the connection back; no transaction may be open on it and no answer outstanding.
+    /// Returns the connection to the pool. No transaction may be open on it and no answer outstanding.
     pub fn release(mut self) {
         if let Some(connection) = self.connection.take() {
-            self.pool.held(self.since);
-            self.pool.give_back(connection);
+            self.pool.record_hold(self.checked_out_at);
+            self.pool.return_connection(connection);
         }
     }
 }
@@ -72,8 +72,8 @@
 impl Drop for Checkout {
     fn drop(&mut self) {
         if self.connection.take().is_some() {
-            self.pool.held(self.since);
-            self.pool.give_room();
+            self.pool.record_hold(self.checked_out_at);
+            self.pool.return_permit();
         }
     }
 }
--- a/crates/proxy/src/line/backend/pool/waiting.rs
+++ b/crates/proxy/src/line/backend/pool/queue.rs
@@ -1,16 +1,17 @@
-//! Who waits for a connection, and who gets the next one that is free.
+//! The queue of statements that wait for a connection, and the selection of the next one to get it.
 
 use std::rc::Rc;
 
 use dandelionpitch_engine::admission::{self, Decision, Queue, Queued, Selection};
 use tokio::sync::oneshot;
 
-use super::{checkout::Place, Grant, Miss, Pool, Request, Waiter};
+use super::{checkout::Permit, Error, Grant, Pool, Request, Waiter};
 use crate::line::{backend::connection::Connection, clock};
 
 impl Pool {
-    /// Waits for a connection, or is refused.
-    pub(super) async fn wait(&self, request: Request) -> Result<Grant, Miss> {
+    /// Waits for a connection or a permit to open one. Returns an error if admission control refuses the
+    /// request, no connection is open, or the deadline passes.
+    pub(super) async fn wait(&self, request: Request) -> Result<Grant, Error> {
         let (grant, granted) = oneshot::channel();
         let Request { rank, deadline } = request;
         let now = clock::now();
@@ -18,7 +19,7 @@
         {
             let mut state = self.state.borrow_mut();
             if state.closed || state.open == 0 {
-                return Err(Miss::Unreachable);
+                return Err(Error::Unreachable);
             }
             let before = |waiter: &Waiter| waiter.rank <= rank && !waiter.grant.is_closed();
             let ahead = state.waiting.iter().filter(|waiter| before(waiter)).count();
@@ -30,9 +31,9 @@
             if let Decision::Refuse { retry_after } =
                 admission::decide(queue, now.until(rank.due).min(left))
             {
-                return Err(Miss::Refused { retry_after });
+                return Err(Error::Refused { retry_after });
             }
-            let place = state
+            let index = state
                 .waiting
                 .iter()
                 .position(|waiter| waiter.rank > rank)
@@ -42,25 +43,25 @@
                 deadline,
                 grant,
             };
-            state.waiting.insert(place, waiter);
+            state.waiting.insert(index, waiter);
         }
         match tokio::time::timeout(left, granted).await {
-            Ok(Ok(Grant::Refused { retry_after })) => Err(Miss::Refused { retry_after }),
+            Ok(Ok(Grant::Refused { retry_after })) => Err(Error::Refused { retry_after }),
             Ok(Ok(grant)) => Ok(grant),
-            Ok(Err(_)) => Err(Miss::Unreachable),
-            Err(_) => Err(Miss::Refused {
+            Ok(Err(_)) => Err(Error::Unreachable),
+            Err(_) => Err(Error::Refused {
                 retry_after: self.hold.get().value(),
             }),
         }
     }
 
-    /// Passes a connection that is free again to whoever waits.
-    pub(super) fn give_back(self: &Rc<Self>, connection: Box<Connection>) {
-        let mut grant = Grant::Connection(self.lend(connection));
+    /// Passes a returned connection to the next waiting statement, or makes it idle.
+    pub(super) fn return_connection(self: &Rc<Self>, connection: Box<Connection>) {
+        let mut grant = Grant::Connection(self.new_checkout(connection));
         while let Some(waiter) = self.next_waiter() {
             match waiter.grant.send(grant) {
                 Ok(()) => return,
-                Err(back) => grant = back,
+                Err(returned) => grant = returned,
             }
         }
         if let Grant::Connection(mut checkout) = grant {
@@ -74,20 +75,20 @@
         }
     }
 
-    /// Passes the room of a closed connection to whoever waits.
-    pub(super) fn give_room(self: &Rc<Self>) {
-        let mut grant = Grant::Room(Place::new(self.clone()));
+    /// Passes the permit of a closed connection to the next waiting statement, or returns it.
+    pub(super) fn return_permit(self: &Rc<Self>) {
+        let mut grant = Grant::Permit(Permit::new(self.clone()));
         while let Some(waiter) = self.next_waiter() {
             match waiter.grant.send(grant) {
                 Ok(()) => return,
-                Err(back) => grant = back,
+                Err(returned) => grant = returned,
             }
         }
-        // Dropped, the place is free.
+        // Not granted: dropping the permit returns it.
     }
 
-    /// The next who waits, unless fewer connections are to be open. Those who wait for nothing any more
-    /// are told so.
+    /// Removes and returns the next statement to get a connection; `None` if no one waits or the pool is
+    /// closed or above its limit. Refuses statements that cannot finish before their deadline.
     fn next_waiter(&self) -> Option<Waiter> {
         let mut state = self.state.borrow_mut();
         if state.closed || state.open > self.limit.get() {
@@ -104,7 +105,7 @@
         for index in too_late.into_iter().rev() {
             let shift = usize::from(next.as_ref().is_some_and(|(taken, _)| *taken < index));
             if let Some(waiter) = state.waiting.remove(index - shift) {
-                // Its receiver may be gone: then nobody has to be told.
+                // Fails only if the statement no longer waits.
                 let _ = waiter.grant.send(Grant::Refused { retry_after: hold });
             }
         }
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -14,8 +14,8 @@
 use crate::{
     line::{
         backend::{
-            connection::Question,
-            pool::{Miss, Rank, Request},
+            connection::Statement,
+            pool::{Error, Rank, Request},
             Backend,
         },
         clock,
@@ -64,8 +64,8 @@
 
 impl Call<'_> {
     /// The statement as it is sent to a server.
-    pub fn question(&self) -> Question<'_> {
-        Question {
+    pub fn statement(&self) -> Statement<'_> {
+        Statement {
             id: self.id,
             text: self.text,
             execution: self.execution,
@@ -146,13 +146,15 @@
 }
 
 /// What it comes to that a connection could not be had.
-pub fn missed(call: &Call<'_>, miss: Miss) -> Failure {
-    match miss {
-        Miss::Refused { retry_after } => {
+pub fn missed(call: &Call<'_>, error: Error) -> Failure {
+    match error {
+        Error::Refused { retry_after } => {
             Failure::Full(call.busy("too much work is waiting", retry_after))
         }
-        Miss::Full => Failure::NotRun(call.busy("the server takes no more connections", COME_BACK)),
-        Miss::Unreachable => Failure::NotRun(call.busy("no server can be reached", COME_BACK)),
+        Error::TooManyConnections => {
+            Failure::NotRun(call.busy("the server takes no more connections", COME_BACK))
+        }
+        Error::Unreachable => Failure::NotRun(call.busy("no server can be reached", COME_BACK)),
     }
 }
 
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -8,8 +8,8 @@
 
 use crate::line::{
     backend::{
-        connection::{ask, dress},
-        pool::{checkout::Checkout, Miss},
+        connection::{execute, sync_variables},
+        pool::{checkout::Checkout, Error},
         Backend,
     },
     clock,
@@ -43,12 +43,12 @@
     session: &Session,
     call: &Call<'_>,
 ) -> Result<Checkout, Failure> {
-    lend(backend, session, call).await.map_err(|miss| {
-        if miss == Miss::Unreachable {
-            backend.unreachable();
+    lend(backend, session, call).await.map_err(|error| {
+        if error == Error::Unreachable {
+            backend.note_unreachable();
             group.depose(backend);
         }
-        missed(call, miss)
+        missed(call, error)
     })?
 }
 
@@ -59,12 +59,12 @@
     session: &Session,
     call: &Call<'_>,
 ) -> Result<Checkout, Failure> {
-    lend(peer, session, call).await.map_err(|miss| {
-        match miss {
-            Miss::Unreachable => peers.lose(peer),
-            Miss::Full | Miss::Refused { .. } => peer.avoid(),
+    lend(peer, session, call).await.map_err(|error| {
+        match error {
+            Error::Unreachable => peers.lose(peer),
+            Error::TooManyConnections | Error::Refused { .. } => peer.avoid(),
         }
-        missed(call, miss)
+        missed(call, error)
     })?
 }
 
@@ -77,7 +77,7 @@
     backend: &Rc<Backend>,
     session: &Session,
     call: &Call<'_>,
-) -> Result<Result<Checkout, Failure>, Miss> {
+) -> Result<Result<Checkout, Failure>, Error> {
     let mut request = call.pool_request();
     if let Some(until) = backend.takes_work_until() {
         request.deadline = request.deadline.min(until);
@@ -91,7 +91,7 @@
     let connection = checkout.connection();
     let why = tokio::select! {
         biased;
-        dressed = tokio::time::timeout(call.left(), dress(connection, session)) => match dressed {
+        synced = tokio::time::timeout(call.left(), sync_variables(connection, session)) => match synced {
             Ok(Ok(())) => return Ok(Ok(checkout)),
             Ok(Err(error)) => error.to_string(),
             Err(_) => "its time is up".to_owned(),
@@ -122,7 +122,7 @@
     let least = call.route.timeout.mul_f64(part);
     let patience = (backend.latency() * PATIENCE).max(least).min(call.left());
     let result = {
-        let sent = ask(checkout.connection(), call.question(), condition);
+        let sent = execute(checkout.connection(), call.statement(), condition);
         tokio::select! {
             biased;
             answer = tokio::time::timeout(patience, sent) => match answer {
@@ -142,9 +142,9 @@
 /// Returns when an answer is overdue and the server's VM is found not to be there.
 async fn gone(backend: &Backend) {
     loop {
-        let pause = (backend.latency() * LOOK_AFTER).clamp(LEAST_LOOK, backend.most_look());
+        let pause = (backend.latency() * LOOK_AFTER).clamp(LEAST_LOOK, backend.max_probe_delay());
         tokio::time::sleep(pause).await;
-        if !backend.reachable().await {
+        if !backend.is_reachable().await {
             return;
         }
     }
--- a/crates/proxy/src/line/traffic/handover.rs
+++ b/crates/proxy/src/line/traffic/handover.rs
@@ -90,7 +90,7 @@
         Failure::Lost(why)
     })?;
     settle(checkout, &answer);
-    peer.took(clock::now().since(asked));
+    peer.record_latency(clock::now().since(asked));
     let success = answer.result.map_err(|refusal| {
         note_refused(&shared.metrics, peer, call, &refusal.to_string());
         Failure::Ran(refusal)
--- a/crates/proxy/src/line/traffic/run.rs
+++ b/crates/proxy/src/line/traffic/run.rs
@@ -192,7 +192,7 @@
     };
     settle(checkout, &answer);
     let trusted = group.note_position(backend, asked, answer.position);
-    backend.took(clock::now().since(asked));
+    backend.record_latency(clock::now().since(asked));
     let latest = call.route.consistency == Consistency::Latest;
     if latest && !trusted {
         let why = "its server does not lead any more";
@@ -282,7 +282,7 @@
         };
         settle(checkout, &answer);
         group.note_position(backend, asked, answer.position);
-        backend.took(clock::now().since(asked));
+        backend.record_latency(clock::now().since(asked));
         match answer.result {
             Ok(success) => {
                 group.trust(backend);
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -61,7 +61,7 @@
             if let Ok(Ok(answer)) = tokio::time::timeout(ROLLBACK_TIMEOUT, ask).await {
                 if answer.state == State::Idle {
                     // Whether the server undoes values set inside is not known.
-                    self.checkout.connection().unclear = true;
+                    self.checkout.connection().is_dirty = true;
                     self.checkout.release();
                 }
             }
