--- a/crates/proxy/src/line/traffic.rs
+++ b/crates/proxy/src/line/traffic.rs
@@ -1,11 +1,12 @@
-//! A caller's statement on its way: [`session`] reads it, [`run`] or [`transaction`] finds the server, or
-//! [`handover`] another proxy that does, and [`exchange`] sends it and waits for the answer.
+//! Processing of callers' statements: [`session`] reads a statement, [`autocommit`] or [`transaction`]
+//! selects the server, or [`forwarding`] another proxy, and [`exchange`] sends it and waits for the
+//! answer.
 
+pub mod autocommit;
 pub mod call;
 pub mod exchange;
 pub mod feed;
-pub mod handover;
+pub mod forwarding;
 pub mod origin;
-pub mod run;
 pub mod session;
 pub mod transaction;
--- a/crates/proxy/src/line/traffic/run.rs
+++ b/crates/proxy/src/line/traffic/autocommit.rs
@@ -1,5 +1,5 @@
-//! Runs one statement outside a transaction: reads on any server that holds what they must see,
-//! writes on the primary and at most once.
+//! Runs statements outside transactions: reads on any server that is fresh enough, writes on the
+//! primary and at most once.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,18 +19,19 @@
         clock,
         group::{Group, Leader},
         traffic::{
-            call::{note_failure, Call, Failure, COME_BACK, OFFER_AGAIN},
-            exchange::{checkout, exchange, settle},
+            call::{note_failure, Call, Failure, RETRY_AFTER, RETRY_PAUSE},
+            exchange::{checkout, exchange, release_if_idle},
         },
     },
     metrics::Target,
 };
 
-/// When the answer to a write is overdue, at least: longer than its work and two round trips to a replica.
-const OVERDUE: Duration = Duration::from_millis(150);
+/// The minimum time after which the answer to a write is overdue: longer than a usual write with two
+/// round trips to a replica.
+const MIN_OVERDUE_AFTER: Duration = Duration::from_millis(150);
 
-/// Runs a read or a write that stands alone.
-pub async fn alone(
+/// Runs a statement outside a transaction.
+pub async fn run(
     group: &Rc<Group>,
     session: &mut Session,
     call: &Call<'_>,
@@ -42,8 +43,8 @@
 }
 
 async fn read(group: &Rc<Group>, session: &Session, call: &Call<'_>) -> Result<Success, Refusal> {
-    let mut tried = Tried::new();
-    while !call.late() {
+    let mut attempts = Attempts::new();
+    while !call.is_expired() {
         let (servers, after) = match call.route.consistency {
             Consistency::Latest => {
                 let leader = confirmed_leader(group, call).await?;
@@ -51,42 +52,42 @@
             }
             Consistency::Bounded(_) | Consistency::Session(_) => {
                 let own = session.floor();
-                let Some(floor) = group.floor(call.since(call.arrived), own).await else {
-                    return Err(call.busy("nothing proves what a read must see", COME_BACK));
+                let Some(floor) = group.floor(call.freshness_bound(call.arrived), own).await else {
+                    return Err(call.busy("required log position is unknown", RETRY_AFTER));
                 };
                 (group.order(clock::now()), Some(floor))
             }
         };
         for backend in servers {
-            if tried.exhausted(&backend) || call.late() {
+            if attempts.is_exhausted(&backend) || call.is_expired() {
                 continue;
             }
             match read_on(group, &backend, session, call, after).await {
                 Ok(success) => return Ok(success),
-                Err(failure) => tried.note(&backend, failure),
+                Err(failure) => attempts.record(&backend, failure),
             }
         }
-        if tried.over() || !call.offers_again(tried.obstacle) {
+        if attempts.finish_round() || !call.may_retry(attempts.obstacle) {
             break;
         }
-        tokio::time::sleep(OFFER_AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
-    Err(tried.refusal(call))
+    Err(attempts.refusal(call))
 }
 
-/// What a read met so far.
-struct Tried {
+/// The attempts to run a read so far.
+struct Attempts {
     rounds: usize,
     obstacle: Obstacle,
     failed: Vec<(Incarnation, u32)>,
     last: Option<Failure>,
 }
 
-impl Tried {
-    /// A read is offered to each server twice at most.
-    const OFFERS: u32 = 2;
-    /// Rounds over all servers.
-    const ROUNDS: usize = 4;
+impl Attempts {
+    /// How often a read may fail on each server.
+    const MAX_PER_SERVER: u32 = 2;
+    /// The maximum number of rounds over all servers.
+    const MAX_ROUNDS: usize = 4;
 
     fn new() -> Self {
         Self {
@@ -97,18 +98,19 @@
         }
     }
 
-    fn exhausted(&self, backend: &Backend) -> bool {
+    fn is_exhausted(&self, backend: &Backend) -> bool {
         let id = &backend.server.incarnation;
-        let met = |(known, count): &(Incarnation, u32)| known == id && *count >= Self::OFFERS;
-        self.failed.iter().any(met)
+        let is_used_up =
+            |(known, count): &(Incarnation, u32)| known == id && *count >= Self::MAX_PER_SERVER;
+        self.failed.iter().any(is_used_up)
     }
 
-    fn note(&mut self, backend: &Backend, failure: Failure) {
-        if matches!(failure, Failure::Full(_)) {
+    fn record(&mut self, backend: &Backend, failure: Failure) {
+        if matches!(failure, Failure::QueueFull(_)) {
             self.obstacle = Obstacle::QueueFull;
         }
-        // What was not run costs nothing to offer again.
-        if matches!(failure, Failure::Ran(_) | Failure::Lost(_)) {
+        // Statements that were not run do not count, as they put no load on the server.
+        if matches!(failure, Failure::Failed(_) | Failure::NoAnswer(_)) {
             let id = &backend.server.incarnation;
             match self.failed.iter_mut().find(|(known, _)| known == id) {
                 Some((_, count)) => *count += 1,
@@ -118,23 +120,23 @@
         self.last = Some(failure);
     }
 
-    fn over(&mut self) -> bool {
+    fn finish_round(&mut self) -> bool {
         self.rounds += 1;
-        self.rounds >= Self::ROUNDS
+        self.rounds >= Self::MAX_ROUNDS
     }
 
     fn refusal(self, call: &Call<'_>) -> Refusal {
         match self.last {
-            Some(Failure::NotRun(refusal) | Failure::Full(refusal) | Failure::Ran(refusal)) => {
-                refusal
-            }
-            Some(Failure::Lost(why)) => Refusal::new(Code::Unknown, why),
-            None => call.busy("its time is up", COME_BACK),
+            Some(
+                Failure::NotRun(refusal) | Failure::QueueFull(refusal) | Failure::Failed(refusal),
+            ) => refusal,
+            Some(Failure::NoAnswer(why)) => Refusal::new(Code::Unknown, why),
+            None => call.busy("timed out before a server was tried", RETRY_AFTER),
         }
     }
 }
 
-/// The primary, if it is proved to lead at the time of the call.
+/// Returns the primary once it is proved that it was still the leader when the statement arrived.
 pub async fn confirmed_leader(
     group: &Rc<Group>,
     call: &Call<'_>,
@@ -142,33 +144,33 @@
     loop {
         let leader = match wait_for_leader(group, call).await {
             Some(leader) => leader,
-            None => return Err(call.busy("no primary is known", COME_BACK)),
+            None => return Err(call.busy("no primary is known", RETRY_AFTER)),
         };
         if group.confirm(call.arrived).await && group.led_by(&leader.backend) {
             return Ok(vec![leader.backend]);
         }
-        // It may be held for a promotion, which ends within the time left.
-        if call.isolated || call.left() < call.route.timeout / 2 {
-            return Err(call.busy("the primary is not proved to lead", COME_BACK));
+        // Replicas may be held for a promotion, which usually completes within the remaining time.
+        if call.isolated || call.remaining() < call.route.timeout / 2 {
+            return Err(call.busy("the primary is not proved to lead", RETRY_AFTER));
         }
-        tokio::time::sleep(OFFER_AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// The primary, looking for one a little while.
+/// Returns the primary, searching for a limited time if it is unknown or leaving.
 pub async fn wait_for_leader(group: &Rc<Group>, call: &Call<'_>) -> Option<Leader> {
     loop {
-        let look = call.looking_left().max(OFFER_AGAIN);
-        // A search goes on for others when this statement has given it up.
-        if let Ok(Some(leader)) = tokio::time::timeout(look, group.leader()).await {
+        let timeout = call.remaining_search_time().max(RETRY_PAUSE);
+        // The search continues for other statements if this one stops waiting.
+        if let Ok(Some(leader)) = tokio::time::timeout(timeout, group.leader()).await {
             if leader.backend.takes_work(clock::now()) {
                 return Some(leader);
             }
         }
-        if !call.offers_again(Obstacle::NoServer) {
+        if !call.may_retry(Obstacle::NoServer) {
             return None;
         }
-        tokio::time::sleep(OFFER_AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -187,16 +189,16 @@
         Ok(answer) => answer,
         Err(why) => {
             note_failure(group, backend, call, &why);
-            return Err(Failure::Lost(why));
+            return Err(Failure::NoAnswer(why));
         }
     };
-    settle(checkout, &answer);
+    release_if_idle(checkout, &answer);
     let trusted = group.note_position(backend, asked, answer.position);
     backend.record_latency(clock::now().since(asked));
     let latest = call.route.consistency == Consistency::Latest;
     if latest && !trusted {
-        let why = "its server does not lead any more";
-        return Err(Failure::NotRun(call.busy(why, OFFER_AGAIN)));
+        let why = "the server is no longer the primary";
+        return Err(Failure::NotRun(call.busy(why, RETRY_PAUSE)));
     }
     if answer.result.is_ok() {
         group.metrics.read(match group.led_by(backend) {
@@ -208,26 +210,27 @@
         note_failure(group, backend, call, &refusal.to_string());
         match refusal.code.guarantees_not_run() {
             true => {
-                // A primary that lacks its own log has started again.
+                // A primary that is behind its own earlier position has restarted with an empty log.
                 let lost_log = latest && refusal.code == Code::Lagging;
                 if lost_log || refusal.code == Code::ReadOnly {
                     group.depose(backend);
                 }
                 Failure::NotRun(refusal)
             }
-            false => Failure::Ran(refusal),
+            false => Failure::Failed(refusal),
         }
     })
 }
 
-/// Waits for a write's answer, and has the primary doubted when it is overdue.
-pub async fn doubting<T>(
+/// Waits for the answer to a write. If it is overdue, the primary is doubted: later writes are sent
+/// only after a replica has confirmed it.
+pub async fn doubt_if_overdue<T>(
     group: &Rc<Group>,
     backend: &Rc<Backend>,
     sent: impl std::future::Future<Output = T>,
 ) -> T {
     let mut sent = std::pin::pin!(sent);
-    match tokio::time::timeout(OVERDUE.max(backend.latency() * 4), &mut sent).await {
+    match tokio::time::timeout(MIN_OVERDUE_AFTER.max(backend.latency() * 4), &mut sent).await {
         Ok(answer) => answer,
         Err(_) => {
             group.doubt(backend);
@@ -236,39 +239,38 @@
     }
 }
 
-/// Runs a write. One that was not run is offered again while its time lasts; one that may have run
-/// is never sent twice.
+/// Runs a write. It is retried only if it was certainly not run.
 async fn write(
     group: &Rc<Group>,
     session: &mut Session,
     call: &Call<'_>,
 ) -> Result<Success, Refusal> {
-    // Cut off, the primary may be on this side and its replicas on the other: it would never answer.
+    // In a partition the primary may be separated from its replicas and never answer a write.
     if (call.isolated || group.doubted()) && !group.confirm(call.arrived).await {
-        return Err(call.unconfirmed());
+        return Err(call.primary_unconfirmed());
     }
     if !group.can_confirm() {
-        return Err(call.unconfirmed());
+        return Err(call.primary_unconfirmed());
     }
-    let mut last = call.busy("no primary is known", COME_BACK);
+    let mut last = call.busy("no primary is known", RETRY_AFTER);
     while let Some(leader) = wait_for_leader(group, call).await {
         let backend = &leader.backend;
         let checkout = match checkout(group, backend, session, call).await {
             Ok(checkout) => checkout,
             Err(Failure::NotRun(refusal)) => {
                 last = refusal;
-                if !call.offers_again(Obstacle::NoServer) {
+                if !call.may_retry(Obstacle::NoServer) {
                     break;
                 }
-                tokio::time::sleep(OFFER_AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             }
-            Err(Failure::Full(refusal) | Failure::Ran(refusal)) => return Err(refusal),
-            Err(Failure::Lost(why)) => return Err(Refusal::new(Code::Unknown, why)),
+            Err(Failure::QueueFull(refusal) | Failure::Failed(refusal)) => return Err(refusal),
+            Err(Failure::NoAnswer(why)) => return Err(Refusal::new(Code::Unknown, why)),
         };
         let asked = clock::now();
         let sent = exchange(checkout, backend, call, Condition::Always);
-        let (answer, checkout) = doubting(group, backend, sent).await;
+        let (answer, checkout) = doubt_if_overdue(group, backend, sent).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(why) => {
@@ -280,15 +282,15 @@
                 return Err(Refusal::new(Code::Unknown, why));
             }
         };
-        settle(checkout, &answer);
+        release_if_idle(checkout, &answer);
         group.note_position(backend, asked, answer.position);
         backend.record_latency(clock::now().since(asked));
         match answer.result {
             Ok(success) => {
                 group.trust(backend);
-                let (term, left) = (leader.term, call.left());
+                let (term, left) = (leader.term, call.remaining());
                 if !group.is_kept(backend, term, answer.position, left).await {
-                    return Err(call.not_kept(group, backend));
+                    return Err(call.commit_unconfirmed(group, backend));
                 }
                 session.committed(answer.position);
                 return Ok(success);
@@ -299,7 +301,7 @@
                     group.depose(backend);
                 }
                 last = refusal;
-                tokio::time::sleep(OFFER_AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
             Err(refusal) => {
                 note_failure(group, backend, call, &refusal.to_string());
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -1,4 +1,4 @@
-//! One caller's statement on its way, and what can become of it.
+//! A caller's statement while it is processed, and how it can fail.
 
 use std::time::Duration;
 
@@ -25,45 +25,44 @@
     metrics::Metrics,
 };
 
-/// The pause before a statement that was not run is offered again.
-pub const OFFER_AGAIN: Duration = Duration::from_millis(15);
+/// The pause before a statement that was not run is tried again.
+pub const RETRY_PAUSE: Duration = Duration::from_millis(15);
 
-/// The time at which refused callers are to come back if nothing better is known: that of a
-/// failover.
-pub const COME_BACK: Duration = Duration::from_millis(500);
+/// The default retry-after of a refused statement: about the duration of a failover.
+pub const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The time at which callers of a proxy that is cut off are to come back: by then the balancer
-/// sends them elsewhere.
-const CUT_OFF: Duration = Duration::from_millis(2_000);
+/// The retry-after if this data centre is partitioned: by then the load balancer sends the caller to
+/// another one.
+const ISOLATED_RETRY_AFTER: Duration = Duration::from_millis(2_000);
 
-/// One statement on its way.
+/// A statement that is being processed.
 pub struct Call<'a> {
     pub id: &'a str,
     pub text: &'a str,
     pub effect: Effect,
     pub execution: Option<&'a Execution>,
     pub route: &'a Route,
-    /// When its first bytes were read.
+    /// When its message was read.
     pub arrived: Moment,
-    /// Whether this proxy was cut off with its data centre then.
+    /// Whether this proxy's data centre was partitioned from the others then.
     pub isolated: bool,
 }
 
-/// What went wrong with a statement on one server.
+/// Why an attempt to run a statement on one server, or on another proxy, failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// It has certainly not run there.
+    /// The statement was certainly not run there.
     NotRun(Refusal),
-    /// Too much work waits there, so it was not run.
-    Full(Refusal),
-    /// The server ran it, and answered with a failure.
-    Ran(Refusal),
-    /// It was sent and no whole answer came; the connection is closed.
-    Lost(String),
+    /// The queue of statements waiting for a connection is too long; the statement was not run.
+    QueueFull(Refusal),
+    /// The server ran the statement, which failed.
+    Failed(Refusal),
+    /// The statement was sent, but no complete answer arrived; the connection is closed.
+    NoAnswer(String),
 }
 
 impl Call<'_> {
-    /// The statement as it is sent to a server.
+    /// The statement in the form in which it is sent to a server.
     pub fn statement(&self) -> Statement<'_> {
         Statement {
             id: self.id,
@@ -72,37 +71,37 @@
         }
     }
 
-    /// When the statement's time is up.
+    /// When the statement times out.
     pub fn deadline(&self) -> Moment {
         self.arrived + self.route.timeout
     }
 
-    /// How long ago it came.
+    /// The time since it arrived.
     pub fn waited(&self) -> Duration {
         clock::now().since(self.arrived)
     }
 
-    /// How much of its time is left.
-    pub fn left(&self) -> Duration {
+    /// The time left until it times out.
+    pub fn remaining(&self) -> Duration {
         clock::now().until(self.deadline())
     }
 
-    /// Whether its time is up.
-    pub fn late(&self) -> bool {
-        self.left().is_zero()
+    /// Whether it has timed out.
+    pub fn is_expired(&self) -> bool {
+        self.remaining().is_zero()
     }
 
-    /// How much longer it may look for a server that can take it.
-    pub fn looking_left(&self) -> Duration {
+    /// How much longer it may search for a server.
+    pub fn remaining_search_time(&self) -> Duration {
         admission::remaining_search_time(self.waited(), self.route.target)
     }
 
-    /// Whether to look for a server that can take it once more.
-    pub fn offers_again(&self, obstacle: Obstacle) -> bool {
+    /// Whether it may be tried on the servers again.
+    pub fn may_retry(&self, obstacle: Obstacle) -> bool {
         !self.isolated && admission::may_retry(obstacle, self.waited(), self.route.target)
     }
 
-    /// What it asks of a pool; the proxy's own questions go first.
+    /// Its request for a connection. The priority is lower than that of status requests.
     pub fn pool_request(&self) -> Request {
         let rank = Rank {
             priority: self.route.priority + 1,
@@ -112,30 +111,35 @@
         Request { rank, deadline }
     }
 
-    /// Before when a commit must have been acknowledged for the statement to see it.
-    pub fn since(&self, begun: Moment) -> Moment {
+    /// The time up to which its reads must see all acknowledged commits, if it or its transaction
+    /// started at `start`.
+    pub fn freshness_bound(&self, start: Moment) -> Moment {
         match self.route.consistency {
-            Consistency::Latest => begun,
-            Consistency::Bounded(allowance) | Consistency::Session(allowance) => begun - allowance,
+            Consistency::Latest => start,
+            Consistency::Bounded(allowance) | Consistency::Session(allowance) => start - allowance,
         }
     }
 
-    /// The refusal of a write that no replica's word allows.
-    pub fn unconfirmed(&self) -> Refusal {
+    /// The refusal of a write because no replica confirms that the primary still leads.
+    pub fn primary_unconfirmed(&self) -> Refusal {
         match self.isolated {
-            true => self.busy("this data centre is cut off", CUT_OFF),
-            false => self.busy("no replica confirms the primary", COME_BACK),
+            true => self.busy(
+                "this data centre is partitioned from the others",
+                ISOLATED_RETRY_AFTER,
+            ),
+            false => self.busy("no replica confirms the primary", RETRY_AFTER),
         }
     }
 
-    /// The answer to a commit that no replica that counts is known to have.
-    pub fn not_kept(&self, group: &Group, backend: &Backend) -> Refusal {
+    /// The refusal of a commit whose outcome is unknown, as it is not known to be durable. Also logs
+    /// and counts it.
+    pub fn commit_unconfirmed(&self, group: &Group, backend: &Backend) -> Refusal {
         let why = "no replica that counts has the commit";
         note_failure(group, backend, self, why);
         Refusal::new(Code::Unknown, format!("outcome unknown: {why}"))
     }
 
-    /// A refusal that says when to come back.
+    /// A refusal of a statement that was not run, with the time after which the caller may retry.
     pub fn busy(&self, why: &str, retry_after: Duration) -> Refusal {
         let millis = retry_after.as_millis();
         Refusal::new(
@@ -145,27 +149,27 @@
     }
 }
 
-/// What it comes to that a connection could not be had.
-pub fn missed(call: &Call<'_>, error: Error) -> Failure {
+/// Converts the error of a connection pool.
+pub fn pool_failure(call: &Call<'_>, error: Error) -> Failure {
     match error {
         Error::Refused { retry_after } => {
-            Failure::Full(call.busy("too much work is waiting", retry_after))
+            Failure::QueueFull(call.busy("too much work is waiting", retry_after))
         }
         Error::TooManyConnections => {
-            Failure::NotRun(call.busy("the server takes no more connections", COME_BACK))
+            Failure::NotRun(call.busy("the server's connection limit is reached", RETRY_AFTER))
         }
-        Error::Unreachable => Failure::NotRun(call.busy("no server can be reached", COME_BACK)),
+        Error::Unreachable => Failure::NotRun(call.busy("the server is unreachable", RETRY_AFTER)),
     }
 }
 
-/// One log line for a statement that a server did not serve.
+/// Logs and counts a failed attempt to run a statement on a server of `group`.
 pub fn note_failure(group: &Group, backend: &Backend, call: &Call<'_>, why: &str) {
-    note_refused(&group.metrics, backend, call, why);
+    note_failed_attempt(&group.metrics, backend, call, why);
 }
 
-/// The same for a server or another proxy.
-pub fn note_refused(metrics: &Metrics, backend: &Backend, call: &Call<'_>, why: &str) {
-    metrics.attempt(reason(why));
+/// Logs and counts a failed attempt to run a statement on a server or another proxy.
+pub fn note_failed_attempt(metrics: &Metrics, backend: &Backend, call: &Call<'_>, why: &str) {
+    metrics.attempt(metric_label(why));
     journal::write(
         "attempt",
         json!({ "id": call.id, "route": call.route.name, "service": call.route.service,
@@ -174,7 +178,7 @@
     );
 }
 
-/// The part of an explanation that is the same for all of its kind, for counters.
-fn reason(why: &str) -> &str {
+/// The part of an explanation before the first colon, without details that vary, as a metric label.
+fn metric_label(why: &str) -> &str {
     why.split(':').next().unwrap_or(why)
 }
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -1,5 +1,5 @@
-//! One statement on one connection: the connection is borrowed, made to hold the session's values,
-//! and the answer awaited for as long as that makes sense.
+//! Runs one statement on one connection: takes a connection from the pool, sets the session's
+//! variables on it, sends the statement and waits for the answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,65 +15,68 @@
     clock,
     group::Group,
     peers::Peers,
-    traffic::call::{missed, Call, Failure, OFFER_AGAIN},
+    traffic::call::{pool_failure, Call, Failure, RETRY_PAUSE},
 };
 
-/// After this many times the usual length without an answer, the server's VM is asked whether
-/// it is still there.
-const LOOK_AFTER: u32 = 2;
+/// The server's VM is probed after this multiple of the server's mean latency without an answer.
+const PROBE_LATENCY_FACTOR: u32 = 2;
 
-/// The shortest wait before that: longer than nine in ten statements take.
-const LEAST_LOOK: Duration = Duration::from_millis(100);
+/// The minimum time without an answer before a probe. Most statements are answered earlier.
+const MIN_PROBE_DELAY: Duration = Duration::from_millis(100);
 
-/// An answer counts as lost after this many times the usual length of a statement on its server.
-const PATIENCE: u32 = 8;
+/// The timeout for an answer, as a multiple of the server's mean latency.
+const TIMEOUT_LATENCY_FACTOR: u32 = 8;
 
-/// The least part of the route's timeout that an answer is waited for: long work behind a full set of
-/// slots fits in.
-const LEAST_PATIENCE: f64 = 0.4;
+/// The minimum timeout for an answer, as a fraction of the route's timeout. Leaves room for a long
+/// statement that waits while all slots of the server are busy.
+const MIN_TIMEOUT_FRACTION: f64 = 0.4;
 
-/// The same for an answer of another proxy, which itself gives up on its servers: only a connection
-/// that has gone silent is to be noticed.
-const PEER_PATIENCE: f64 = 0.8;
+/// The same for an answer of another proxy, which applies timeouts to its servers itself. Detects
+/// only a proxy that no longer responds.
+const PEER_MIN_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// A connection to `backend` with the session's values in force.
+/// Returns a connection to `backend` on which the session's variables are set.
 pub async fn checkout(
     group: &Rc<Group>,
     backend: &Rc<Backend>,
     session: &Session,
     call: &Call<'_>,
 ) -> Result<Checkout, Failure> {
-    lend(backend, session, call).await.map_err(|error| {
-        if error == Error::Unreachable {
-            backend.note_unreachable();
-            group.depose(backend);
-        }
-        missed(call, error)
-    })?
+    checkout_connection(backend, session, call)
+        .await
+        .map_err(|error| {
+            if error == Error::Unreachable {
+                backend.note_unreachable();
+                group.depose(backend);
+            }
+            pool_failure(call, error)
+        })?
 }
 
-/// A connection to another proxy with the session's values in force.
+/// Returns a connection to another proxy on which the session's variables are set.
 pub async fn checkout_peer(
     peers: &Peers,
     peer: &Rc<Backend>,
     session: &Session,
     call: &Call<'_>,
 ) -> Result<Checkout, Failure> {
-    lend(peer, session, call).await.map_err(|error| {
-        match error {
-            Error::Unreachable => peers.lose(peer),
-            Error::TooManyConnections | Error::Refused { .. } => peer.avoid(),
-        }
-        missed(call, error)
-    })?
+    checkout_connection(peer, session, call)
+        .await
+        .map_err(|error| {
+            match error {
+                Error::Unreachable => peers.lose(peer),
+                Error::TooManyConnections | Error::Refused { .. } => peer.avoid(),
+            }
+            pool_failure(call, error)
+        })?
 }
 
-/// Lends a connection; the inner result is what became of setting the session's values on it.
+/// Takes a connection from the pool and sets the session's variables on it. The outer error is the
+/// pool's, the inner one a failure afterwards.
 ///
-/// Failure: a statement waits in the queue of a server that leaves, is given a connection seconds later,
-/// and reaches it after the time within which it may have new work. Guard: it waits no longer than
-/// that, and what waited is judged again.
-async fn lend(
+/// A server that is leaving accepts new statements for a limited time only. A statement does not wait
+/// for a connection beyond that time, which is checked again when it gets one.
+async fn checkout_connection(
     backend: &Rc<Backend>,
     session: &Session,
     call: &Call<'_>,
@@ -85,52 +88,54 @@
     let mut checkout = backend.pool.checkout(session.variables(), request).await?;
     if !backend.takes_work(clock::now()) {
         checkout.release();
-        let why = "its server leaves";
-        return Ok(Err(Failure::NotRun(call.busy(why, OFFER_AGAIN))));
+        let why = "the server is about to stop";
+        return Ok(Err(Failure::NotRun(call.busy(why, RETRY_PAUSE))));
     }
     let connection = checkout.connection();
     let why = tokio::select! {
         biased;
-        synced = tokio::time::timeout(call.left(), sync_variables(connection, session)) => match synced {
-            Ok(Ok(())) => return Ok(Ok(checkout)),
-            Ok(Err(error)) => error.to_string(),
-            Err(_) => "its time is up".to_owned(),
-        },
-        () = gone(backend) => "its server cannot be reached".to_owned(),
+        synced = tokio::time::timeout(call.remaining(), sync_variables(connection, session)) =>
+            match synced {
+                Ok(Ok(())) => return Ok(Ok(checkout)),
+                Ok(Err(error)) => error.to_string(),
+                Err(_) => "timed out while setting session variables".to_owned(),
+            },
+        () = until_unreachable(backend) => "the server is unreachable".to_owned(),
     };
-    // Nothing of the caller's was sent.
+    // The statement was not sent yet.
     backend.avoid();
-    Ok(Err(Failure::NotRun(call.busy(&why, OFFER_AGAIN))))
+    Ok(Err(Failure::NotRun(call.busy(&why, RETRY_PAUSE))))
 }
 
-/// Sends the statement and reads its answer. When the answer counts as lost, or the server's
-/// VM is not there any more, the connection is closed and the reason returned.
+/// Sends the statement and reads its answer. If there is no answer in time, or the server's VM is
+/// unreachable, closes the connection and returns the reason.
 ///
-/// Load pattern: a server loses a fifth of its answers for seconds, and each holds one of a handful
-/// of connections until the route's timeout. Giving up after some times the usual length frees it
-/// for others, and lets a transaction be repeated within its caller's deadline.
+/// The timeout is usually shorter than that of the route. Answers that a server loses would otherwise
+/// block its few connections, and a transaction could not be repeated within its caller's deadline.
 pub async fn exchange(
     mut checkout: Checkout,
     backend: &Backend,
     call: &Call<'_>,
     condition: Condition<'_>,
 ) -> (Result<Answer, String>, Option<Checkout>) {
-    let part = match condition {
-        Condition::Forwarded(_) => PEER_PATIENCE,
-        Condition::Always | Condition::After(_) => LEAST_PATIENCE,
+    let min_fraction = match condition {
+        Condition::Forwarded(_) => PEER_MIN_TIMEOUT_FRACTION,
+        Condition::Always | Condition::After(_) => MIN_TIMEOUT_FRACTION,
     };
-    let least = call.route.timeout.mul_f64(part);
-    let patience = (backend.latency() * PATIENCE).max(least).min(call.left());
+    let min_timeout = call.route.timeout.mul_f64(min_fraction);
+    let timeout = (backend.latency() * TIMEOUT_LATENCY_FACTOR)
+        .max(min_timeout)
+        .min(call.remaining());
     let result = {
         let sent = execute(checkout.connection(), call.statement(), condition);
         tokio::select! {
             biased;
-            answer = tokio::time::timeout(patience, sent) => match answer {
+            answer = tokio::time::timeout(timeout, sent) => match answer {
                 Ok(Ok(answer)) => Ok(answer),
                 Ok(Err(error)) => Err(error.to_string()),
-                Err(_) => Err(format!("no answer in time: {patience:?}")),
+                Err(_) => Err(format!("no answer in time: {timeout:?}")),
             },
-            () = gone(backend) => Err("its server cannot be reached".to_owned()),
+            () = until_unreachable(backend) => Err("its server cannot be reached".to_owned()),
         }
     };
     match result {
@@ -139,19 +144,21 @@
     }
 }
 
-/// Returns when an answer is overdue and the server's VM is found not to be there.
-async fn gone(backend: &Backend) {
+/// Probes the server's VM at intervals and returns once it is unreachable.
+async fn until_unreachable(backend: &Backend) {
     loop {
-        let pause = (backend.latency() * LOOK_AFTER).clamp(LEAST_LOOK, backend.max_probe_delay());
-        tokio::time::sleep(pause).await;
+        let delay = (backend.latency() * PROBE_LATENCY_FACTOR)
+            .clamp(MIN_PROBE_DELAY, backend.max_probe_delay());
+        tokio::time::sleep(delay).await;
         if !backend.is_reachable().await {
             return;
         }
     }
 }
 
-/// Gives the connection back, unless the server says that a transaction is open on it.
-pub fn settle(checkout: Option<Checkout>, answer: &Answer) {
+/// Returns the connection to the pool, or closes it if the server reports that a transaction is open
+/// on it.
+pub fn release_if_idle(checkout: Option<Checkout>, answer: &Answer) {
     if let (Some(checkout), State::Idle) = (checkout, answer.state) {
         checkout.release();
     }
--- a/crates/proxy/src/line/traffic/feed.rs
+++ b/crates/proxy/src/line/traffic/feed.rs
@@ -1,4 +1,4 @@
-//! Tells another proxy what changed in the store, as long as its connection lasts.
+//! Serves the change feed: answers other proxies' requests for changes of the store.
 
 use dandelionpitch_engine::refusal::{Code, Refusal};
 use dandelionpitch_platform::{
@@ -9,40 +9,44 @@
 
 use crate::line::{journal, mirror::Handle};
 
-/// The longest answer that is given. Whoever has missed more reads it from the store: sent to dozens of
-/// others at once, it would fill this VM's link for longer than they wait.
-const LONGEST: usize = 64 * 1024;
+/// The maximum size of a response. A proxy that has missed more reads it from the store: sending it to
+/// dozens of proxies at once would saturate this VM's network link for longer than they wait.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Appends the answer to a question for changes, to a connection that stands at `stand`.
-pub async fn answer(mirror: &Handle, message: &[u8], stand: Ready, out: &mut Vec<u8>) {
+/// Appends the response to a request for changes. `ready` is the state of the connection.
+pub async fn respond(mirror: &Handle, message: &[u8], ready: Ready, out: &mut Vec<u8>) {
     let start = out.len();
-    let told = match line::to_str(message).and_then(Request::parse) {
-        Ok(question) => tell(mirror, question, out).await,
+    let written = match line::to_str(message).and_then(Request::parse) {
+        Ok(request) => write_response(mirror, request, out).await,
         Err(error) => Err(error),
     };
-    match told {
-        Ok(true) if out.len() - start <= LONGEST => caller::write_done(out, stand),
+    match written {
+        Ok(true) if out.len() - start <= MAX_RESPONSE_BYTES => caller::write_done(out, ready),
         Ok(_) => {
             out.truncate(start);
-            caller::write_refusal(out, &nothing_known(), stand);
+            caller::write_refusal(out, &unavailable(), ready);
         }
         Err(error) => {
             out.truncate(start);
             journal::trouble("feed", &error.to_string());
-            caller::write_refusal(out, &nothing_known(), stand);
+            caller::write_refusal(out, &unavailable(), ready);
         }
     }
 }
 
-/// Appends the rows of an answer; `false` if there is none.
-async fn tell(mirror: &Handle, question: Request, out: &mut Vec<u8>) -> Result<bool, Error> {
-    let Some(answer) = mirror.answer(question).await else {
+/// Appends the rows of a response; returns `false` if this proxy cannot serve changes.
+async fn write_response(
+    mirror: &Handle,
+    request: Request,
+    out: &mut Vec<u8>,
+) -> Result<bool, Error> {
+    let Some(response) = mirror.answer(request).await else {
         return Ok(false);
     };
-    answer.write(out, |key| mirror.delta(key, question.after))?;
+    response.write(out, |key| mirror.delta(key, request.after))?;
     Ok(true)
 }
 
-fn nothing_known() -> Refusal {
-    Refusal::new(Code::Busy, "this proxy hears nothing of the store itself")
+fn unavailable() -> Refusal {
+    Refusal::new(Code::Busy, "this proxy cannot serve changes of the store")
 }
--- a/crates/proxy/src/line/traffic/origin.rs
+++ b/crates/proxy/src/line/traffic/origin.rs
@@ -1,30 +1,31 @@
-//! Who is at the other end of a connection, and what that means for a planned stop.
+//! Whether a connection comes from a caller or another proxy, and what a graceful shutdown waits for.
 
 use std::{cell::Cell, rc::Rc};
 
-/// Who is at the other end.
+/// The kind of client that opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     Caller,
-    /// Another proxy, with statements of many sessions one after the other.
+    /// Another proxy, which forwards statements of many sessions, one at a time.
     Peer,
 }
 
-/// A statement of another proxy that a planned stop waits for.
-pub struct UnderWay(Option<Rc<Cell<usize>>>);
+/// Counts a forwarded statement as open while it is processed, so that a graceful shutdown waits for
+/// it.
+pub struct InFlight(Option<Rc<Cell<usize>>>);
 
-impl UnderWay {
-    /// Counts one more of `open` until it is dropped, if it is another proxy's.
+impl InFlight {
+    /// Increments `open` until the value is dropped, if the statement is from another proxy.
     pub fn new(open: &Rc<Cell<usize>>, origin: Origin) -> Self {
-        let counted = (origin == Origin::Peer).then(|| open.clone());
-        if let Some(open) = &counted {
+        let counter = (origin == Origin::Peer).then(|| open.clone());
+        if let Some(open) = &counter {
             open.set(open.get() + 1);
         }
-        Self(counted)
+        Self(counter)
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlight {
     fn drop(&mut self) {
         if let Some(open) = &self.0 {
             open.set(open.get() - 1);
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -1,5 +1,5 @@
-//! One caller's connection: reads its messages, runs them one after the other and writes the
-//! answers. What a statement comes to is decided by [`engine::session`].
+//! The connection of a caller or another proxy: reads messages, runs the statements in order and
+//! writes the answers. The session's state machine is [`engine::session`].
 //!
 //! [`engine::session`]: dandelionpitch_engine::session
 
@@ -33,30 +33,30 @@
     clock, journal,
     shared::Shared,
     traffic::{
+        autocommit,
         call::Call,
-        handover::{self, Handed},
-        origin::{Origin, UnderWay},
-        run,
-        transaction::{self, Holder, Pinned},
+        forwarding::{self, Outcome},
+        origin::{InFlight, Origin},
+        transaction::{self, Endpoint, Pinned},
     },
 };
 
-/// How long an answer may take to be taken by its caller before the connection counts as lost.
+/// The timeout for writing an answer, after which the connection is considered lost.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a caller has for its first message.
+/// The timeout for a caller's first message.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves a new connection in a task of its own.
+/// Serves a new connection in its own task.
 pub fn spawn(stream: TcpStream, shared: Rc<Shared>, origin: Origin) {
     tokio::task::spawn_local(async move {
         if let Err(error) = configure_socket(&stream) {
             journal::trouble("caller socket", &error.to_string());
             return;
         }
-        // A connection of another proxy rests most of the time; only its statements are waited for.
-        let counted = usize::from(origin == Origin::Caller);
-        shared.open.set(shared.open.get() + counted);
+        // A graceful shutdown waits for other proxies' statements, but not for their connections.
+        let count = usize::from(origin == Origin::Caller);
+        shared.open.set(shared.open.get() + count);
         let open = shared.open.clone();
         let (reader, writer) = stream.into_split();
         let session = Session {
@@ -72,19 +72,19 @@
             pinned: None,
         };
         session.serve().await;
-        open.set(open.get() - counted);
+        open.set(open.get() - count);
     });
 }
 
-/// What a session waits for between statements.
-enum Next {
+/// What ends the wait for the next message.
+enum Event {
     Line(bytes::Bytes, Moment),
-    /// The caller has gone, or broke the protocol.
-    Gone,
-    /// The process stops and nothing is under way.
-    Retire,
-    /// A transaction has rested too long.
-    Rested,
+    /// The caller has disconnected or violated the protocol.
+    Disconnected,
+    /// The session is to end, because of a graceful shutdown or a partition of the data centre.
+    Close,
+    /// The transaction's idle timeout has expired.
+    TimedOut,
 }
 
 struct Session {
@@ -96,7 +96,7 @@
     out: Vec<u8>,
     database: String,
     state: engine::Session,
-    /// The route of the open transaction.
+    /// The route of the current statement or open transaction.
     route: Option<Arc<Route>>,
     pinned: Option<Pinned>,
 }
@@ -107,14 +107,14 @@
             return;
         }
         loop {
-            match self.next().await {
-                Next::Line(line, arrived) => {
+            match self.next_event().await {
+                Event::Line(line, arrived) => {
                     if !self.handle(&line, arrived).await {
                         break;
                     }
                 }
-                Next::Rested => self.drop_rested(),
-                Next::Gone | Next::Retire => break,
+                Event::TimedOut => self.time_out_transaction(),
+                Event::Disconnected | Event::Close => break,
             }
         }
         if let Some(pinned) = self.pinned.take() {
@@ -122,9 +122,9 @@
         }
     }
 
-    /// Answers the first message; `false` when the session is over.
+    /// Answers the first message; returns `false` if the session is to end.
     async fn start(&mut self) -> bool {
-        let first = tokio::time::timeout(START_TIMEOUT, self.line()).await;
+        let first = tokio::time::timeout(START_TIMEOUT, self.read_line()).await;
         let Ok(Some(line)) = first else {
             return false;
         };
@@ -137,73 +137,68 @@
                 peer::SERVICE | feed::SERVICE => Ok(()),
                 _ => Err(Refusal::new(
                     Code::Moved,
-                    "only other proxies are served here",
+                    "this port accepts only other proxies",
                 )),
             },
             None => Err(Refusal::new(Code::Busy, "starting; come back in 1000 ms")),
             Some(catalog) if !catalog.routes.contains_key(&database) => {
-                Err(no_database(&database, catalog.version))
+                Err(unknown_database(&database, catalog.version))
             }
             Some(_) => Ok(()),
         };
-        let stand = self.stand();
+        let ready = self.ready();
         match &known {
-            Ok(()) => caller::write_ready(&mut self.out, stand),
+            Ok(()) => caller::write_ready(&mut self.out, ready),
             Err(refusal) => caller::write_start_failure(&mut self.out, refusal),
         }
         self.database = database;
         self.flush().await && known.is_ok()
     }
 
-    /// The next thing to do. At rest in a planned stop, the session ends.
-    ///
-    /// Failure: hundreds of sessions end in one turn of the runtime, which does not look at sockets meanwhile; a
-    /// statement that has arrived is not seen, and its caller's connection is closed without an
-    /// answer. Guard: the socket itself is asked before a session ends at rest.
-    async fn next(&mut self) -> Next {
-        match self.next_event().await {
-            Next::Retire if self.has_unread() => match self.line().await {
-                Some(line) => Next::Line(line, clock::now()),
-                None => Next::Gone,
+    /// Waits for the next event. Before the session is closed, its socket is checked for a message that
+    /// the runtime has not reported yet, as the caller would get no answer to it.
+    async fn next_event(&mut self) -> Event {
+        match self.wait_for_event().await {
+            Event::Close if self.has_unread() => match self.read_line().await {
+                Some(line) => Event::Line(line, clock::now()),
+                None => Event::Disconnected,
             },
             next => next,
         }
     }
 
-    /// Whether anything has arrived that was not read.
+    /// Whether there is unread data.
     fn has_unread(&self) -> bool {
         !self.buffer.is_empty() || line::has_unread(self.reader.as_ref())
     }
 
-    async fn next_event(&mut self) -> Next {
+    async fn wait_for_event(&mut self) -> Event {
         let idle = self.state.phase() == Phase::Idle;
-        // Other proxies stop asking by themselves; a connection closed under them costs a statement.
-        let ends_at_rest = self.origin == Origin::Caller;
+        // Another proxy stops forwarding by itself; closing its connection could fail a statement.
+        let closes_when_idle = self.origin == Origin::Caller;
         let shared = self.shared.clone();
         let stop = &shared.stop;
-        let rest = self.rest_limit();
+        let timeout = self.transaction_idle_timeout();
         tokio::select! {
             biased;
-            line = self.line() => match line {
-                Some(line) => Next::Line(line, clock::now()),
-                None => Next::Gone,
+            line = self.read_line() => match line {
+                Some(line) => Event::Line(line, clock::now()),
+                None => Event::Disconnected,
             },
-            () = stop.sessions_end(idle), if ends_at_rest || !idle => Next::Retire,
-            () = shared.released(), if idle && ends_at_rest => Next::Retire,
-            () = tokio::time::sleep(rest), if self.pinned.is_some() => Next::Rested,
+            () = stop.sessions_end(idle), if closes_when_idle || !idle => Event::Close,
+            () = shared.released(), if idle && closes_when_idle => Event::Close,
+            () = tokio::time::sleep(timeout), if self.pinned.is_some() => Event::TimedOut,
         }
     }
 
-    fn rest_limit(&self) -> Duration {
+    fn transaction_idle_timeout(&self) -> Duration {
         let catalog = self.shared.catalog();
         catalog.map_or(Duration::MAX, |catalog| catalog.transaction_idle_timeout)
     }
 
-    /// Gives the connection of a resting transaction back to others.
-    ///
-    /// Failure: callers that open a transaction and go quiet hold the few connections of a server.
-    /// Guard: after the configured rest the transaction is rolled back; its next statement is told.
-    fn drop_rested(&mut self) {
+    /// Rolls back a transaction whose idle timeout has expired, so that idle callers do not hold the
+    /// few connections of a server. The caller's next statement is refused.
+    fn time_out_transaction(&mut self) {
         if let Some(pinned) = self.pinned.take() {
             pinned.roll_back();
         }
@@ -211,8 +206,8 @@
         journal::write("rested", json!({ "database": self.database }));
     }
 
-    /// Reads one line; `None` when the caller has gone or sent what is no message. Safe to cancel.
-    async fn line(&mut self) -> Option<bytes::Bytes> {
+    /// Reads one line; `None` if the caller has disconnected or sent an invalid line. Cancel safe.
+    async fn read_line(&mut self) -> Option<bytes::Bytes> {
         loop {
             match self.buffer.next_line() {
                 Ok(Some(line)) => return Some(line),
@@ -226,17 +221,17 @@
         }
     }
 
-    /// Handles one message; `false` when the session is over.
+    /// Handles one message; returns `false` if the session is to end.
     async fn handle(&mut self, line: &[u8], arrived: Moment) -> bool {
         if self.origin == Origin::Peer && self.database == feed::SERVICE {
-            return self.tell_changes(line).await;
+            return self.answer_feed(line).await;
         }
         let message = line::to_str(line).and_then(|text| match self.origin {
             Origin::Peer => peer::parse_message(text),
             Origin::Caller => caller::parse_request(text).map(Message::from),
         });
         let Message {
-            requirements: terms,
+            requirements,
             request,
         } = match message {
             Ok(message) => message,
@@ -250,37 +245,39 @@
         match request {
             Request::Quit | Request::Start { .. } => return false,
             Request::Invalid { id } => {
-                let refusal = Refusal::new(Code::Syntax, "not a statement");
+                let refusal = Refusal::new(Code::Syntax, "malformed statement");
                 self.state.failed();
-                self.release_failed();
-                self.answer(id, arrived, Err(refusal));
+                self.release_if_failed();
+                self.write_answer(id, arrived, Err(refusal));
             }
             Request::Query {
                 id,
                 text,
                 statement,
             } => {
-                let under_way = UnderWay::new(&self.shared.open, self.origin);
-                let result = self.statement(id, text, &statement, terms, arrived).await;
-                drop(under_way);
-                self.answer(id, arrived, result);
+                let in_flight = InFlight::new(&self.shared.open, self.origin);
+                let result = self
+                    .execute(id, text, &statement, requirements, arrived)
+                    .await;
+                drop(in_flight);
+                self.write_answer(id, arrived, result);
             }
         }
         self.flush().await
     }
 
-    /// Runs a statement; `None` is success without a server.
-    async fn statement(
+    /// Runs a statement; returns `None` if it succeeded without a server.
+    async fn execute(
         &mut self,
         id: &str,
         text: &str,
         statement: &Statement<'_>,
-        terms: Option<Requirements>,
+        requirements: Option<Requirements>,
         arrived: Moment,
     ) -> Result<Option<Success>, Refusal> {
         match self.origin {
-            Origin::Caller => self.choose_route()?,
-            Origin::Peer => self.take_terms(terms),
+            Origin::Caller => self.update_route()?,
+            Origin::Peer => self.apply_requirements(requirements),
         }
         let step = self.state.step(statement, arrived);
         let (effect, execution) = match step {
@@ -292,13 +289,13 @@
                 return Ok(None);
             }
             Step::Refuse(refusal) => {
-                self.release_failed();
+                self.release_if_failed();
                 return Err(refusal);
             }
             Step::Run { effect, execution } => (effect, execution),
         };
         let Some(route) = self.route.clone() else {
-            return Err(Refusal::new(Code::NoDatabase, "no route"));
+            return Err(Refusal::new(Code::NoDatabase, "no route for statement"));
         };
         let call = Call {
             id,
@@ -309,55 +306,56 @@
             arrived,
             isolated: self.shared.isolated.borrow().is_isolated(arrived),
         };
-        let alone = self.state.phase() == Phase::Idle;
-        if let Some(peers) = self.peers(&route) {
-            match self.hand_over(&peers, alone, &call).await {
-                Handed::Answered(result) => return result.map(Some),
-                Handed::Nobody => note_nobody(&call),
+        let idle = self.state.phase() == Phase::Idle;
+        if let Some(peers) = self.owners(&route) {
+            match self.forward(&peers, idle, &call).await {
+                Outcome::Answered(result) => return result.map(Some),
+                Outcome::NoOwner => log_no_owner(&call),
             }
         }
-        // Also where others hold the connections but none of them can be reached: a proxy that is cut
-        // off from the others may reach the servers, and its callers have nobody else.
+        // Also if no owner can be reached: in a partition this proxy may still reach the servers.
         let group = self.shared.group(&route.service);
         let (state, pinned) = (&mut self.state, &mut self.pinned);
-        let result = match alone {
-            true => run::alone(&group, state, &call).await,
-            false => transaction::inside(&group, state, pinned, &call).await,
+        let result = match idle {
+            true => autocommit::run(&group, state, &call).await,
+            false => transaction::run(&group, state, pinned, &call).await,
         };
         result.map(Some)
     }
 
-    /// The proxies that the statement is handed to; `None` if it is run here. A transaction stays where
-    /// it was begun.
-    fn peers(&self, route: &Route) -> Option<Vec<Rc<Backend>>> {
+    /// The proxies to which the statement is forwarded; `None` if this proxy runs it. A transaction
+    /// stays where it was begun.
+    fn owners(&self, route: &Route) -> Option<Vec<Rc<Backend>>> {
         match (&self.pinned, self.origin) {
-            (Some(pinned), _) if pinned.holder == Holder::Peer => Some(Vec::new()),
+            (Some(pinned), _) if pinned.endpoint == Endpoint::Peer => Some(Vec::new()),
             (None, Origin::Caller) => self.shared.peers.of(&route.service),
             _ => None,
         }
     }
 
-    async fn hand_over(&mut self, peers: &[Rc<Backend>], alone: bool, call: &Call<'_>) -> Handed {
+    async fn forward(&mut self, peers: &[Rc<Backend>], idle: bool, call: &Call<'_>) -> Outcome {
         let (state, pinned) = (&mut self.state, &mut self.pinned);
-        match alone {
-            true => handover::alone(&self.shared, peers, state, call).await,
-            false => handover::inside(&self.shared, peers, state, pinned, call).await,
+        match idle {
+            true => forwarding::run_autocommit(&self.shared, peers, state, call).await,
+            false => forwarding::run_in_transaction(&self.shared, peers, state, pinned, call).await,
         }
     }
 
-    /// Takes the terms of another proxy's statement in place of a route of the own configuration. A
-    /// statement that starts on a resting connection is of any session, whose last commit they name.
-    fn take_terms(&mut self, terms: Option<Requirements>) {
-        let Some(terms) = terms else { return };
+    /// Uses the requirements of a forwarded statement instead of a configured route. Outside a
+    /// transaction each statement may be of another session, so its floor is replaced too.
+    fn apply_requirements(&mut self, requirements: Option<Requirements>) {
+        let Some(requirements) = requirements else {
+            return;
+        };
         if self.state.phase() == Phase::Idle {
-            self.state.set_floor(terms.floor);
+            self.state.set_floor(requirements.floor);
         }
-        self.route = Some(Arc::new(Route::from(terms)));
+        self.route = Some(Arc::new(Route::from(requirements)));
     }
 
-    /// A transaction keeps the route that it began with; everything else follows the configuration
-    /// in force.
-    fn choose_route(&mut self) -> Result<(), Refusal> {
+    /// Looks up the route in the current configuration, unless a transaction is open, which keeps the
+    /// route with which it began.
+    fn update_route(&mut self) -> Result<(), Refusal> {
         if self.state.phase() != Phase::Idle && self.route.is_some() {
             return Ok(());
         }
@@ -371,12 +369,12 @@
         self.route = route;
         match self.route {
             Some(_) => Ok(()),
-            None => Err(no_database(&self.database, version)),
+            None => Err(unknown_database(&self.database, version)),
         }
     }
 
-    /// A failed transaction keeps no connection.
-    fn release_failed(&mut self) {
+    /// Releases the connection of a failed transaction.
+    fn release_if_failed(&mut self) {
         if self.state.phase() == Phase::Failed {
             if let Some(pinned) = self.pinned.take() {
                 pinned.roll_back();
@@ -385,8 +383,8 @@
     }
 }
 
-/// One log line for a statement that no owner of its group could be offered.
-fn note_nobody(call: &Call<'_>) {
+/// Logs that no owner of the statement's group could be reached.
+fn log_no_owner(call: &Call<'_>) {
     journal::write(
         "no owner reached",
         json!({ "id": call.id, "service": call.route.service,
@@ -394,7 +392,7 @@
     );
 }
 
-fn no_database(name: &str, version: u64) -> Refusal {
+fn unknown_database(name: &str, version: u64) -> Refusal {
     let why = format!("no database {name:?} in version {version} of the configuration");
     Refusal::new(Code::NoDatabase, why)
 }
--- a/crates/proxy/src/line/traffic/session/reply.rs
+++ b/crates/proxy/src/line/traffic/session/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller, or another proxy, is told.
+//! Writes the answers to a caller or another proxy.
 
 use dandelionpitch_engine::{refusal::Refusal, time::Moment};
 use dandelionpitch_platform::{
@@ -13,8 +13,8 @@
 use crate::line::{clock, journal, traffic::feed};
 
 impl Session {
-    /// Where the session stands, as the other end is told.
-    pub(super) fn stand(&self) -> Ready {
+    /// The session state that is reported with each answer.
+    pub(super) fn ready(&self) -> Ready {
         let position = match self.origin {
             Origin::Caller => None,
             Origin::Peer => self.state.floor(),
@@ -25,20 +25,21 @@
         }
     }
 
-    /// Writes the answer to a statement, counts it and notes what went wrong.
-    pub(super) fn answer(
+    /// Appends the answer to a statement to the output; counts it, and logs refusals and answers that
+    /// exceed the route's target.
+    pub(super) fn write_answer(
         &mut self,
         id: &str,
         arrived: Moment,
         result: Result<Option<Success>, Refusal>,
     ) {
-        let stand = self.stand();
+        let ready = self.ready();
         let metrics = &self.shared.metrics;
         match &result {
-            Ok(Some(success)) => caller::write_success(&mut self.out, success, stand),
-            Ok(None) => caller::write_done(&mut self.out, stand),
+            Ok(Some(success)) => caller::write_success(&mut self.out, success, ready),
+            Ok(None) => caller::write_done(&mut self.out, ready),
             Err(refusal) => {
-                caller::write_refusal(&mut self.out, refusal, stand);
+                caller::write_refusal(&mut self.out, refusal, ready);
                 journal::write(
                     "refused",
                     json!({ "id": id, "database": self.database, "code": refusal.code.to_string(),
@@ -48,7 +49,7 @@
             }
         }
         if self.origin == Origin::Peer {
-            // The proxy that has the caller counts it.
+            // Counted by the proxy that forwarded it.
             return;
         }
         metrics.statement(result.is_ok());
@@ -69,17 +70,18 @@
         }
     }
 
-    /// Answers another proxy that asks what changed in the store. A process that stops sends it elsewhere.
-    pub(super) async fn tell_changes(&mut self, line: &[u8]) -> bool {
+    /// Answers a request for changes of the store. Returns `false` during a graceful shutdown, so that
+    /// the other proxy uses another source.
+    pub(super) async fn answer_feed(&mut self, line: &[u8]) -> bool {
         if self.shared.stop.token().is_cancelled() {
             return false;
         }
-        let stand = self.stand();
-        feed::answer(&self.shared.mirror, line, stand, &mut self.out).await;
+        let ready = self.ready();
+        feed::respond(&self.shared.mirror, line, ready, &mut self.out).await;
         self.flush().await
     }
 
-    /// Writes what is ready; `false` when the caller does not take it.
+    /// Sends the output; returns `false` if that fails or times out.
     pub(super) async fn flush(&mut self) -> bool {
         let write = self.writer.write_all(&self.out);
         let written = matches!(tokio::time::timeout(WRITE_TIMEOUT, write).await, Ok(Ok(())));
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -1,4 +1,4 @@
-//! Runs the statements of a transaction on one connection, which it takes with the first of them.
+//! Runs the statements of a transaction on one connection, which is assigned with the first of them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,52 +15,53 @@
     clock,
     group::Group,
     traffic::{
+        autocommit,
         call::{note_failure, Call, Failure},
         exchange::{checkout, exchange},
-        run,
     },
 };
 
-/// How long a connection may take to roll back before it is closed instead.
+/// The timeout of a rollback, after which the connection is closed instead.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The pause before a statement of a transaction that was not run is sent again.
-const SEND_AGAIN: Duration = Duration::from_millis(15);
+/// The pause before a statement that was not run is sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(15);
 
-/// How often it is sent again: a server that sheds work has a long queue before it.
-const SENDS: usize = 5;
+/// How often a statement is sent to a server that refuses it because of overload.
+const MAX_ATTEMPTS: usize = 5;
 
-/// The connection of an open transaction.
+/// The connection that is pinned to an open transaction.
 pub struct Pinned {
     pub checkout: Checkout,
     pub backend: Rc<Backend>,
-    pub holder: Holder,
+    pub endpoint: Endpoint,
 }
 
-/// Whose connection to the backend server a transaction has.
+/// What a pinned connection is connected to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holder {
-    /// This proxy's, to a server that was known as the primary of `term` when the transaction began.
-    Own { term: Option<u64> },
-    /// That of another proxy, to which `Pinned` leads.
+pub enum Endpoint {
+    /// A backend server; `term` is set if it was known as the primary of that term when the transaction
+    /// began.
+    Server { term: Option<u64> },
+    /// Another proxy, which holds the connection to the backend server.
     Peer,
 }
 
 impl Pinned {
     fn term(&self) -> Option<u64> {
-        match self.holder {
-            Holder::Own { term } => term,
-            Holder::Peer => None,
+        match self.endpoint {
+            Endpoint::Server { term } => term,
+            Endpoint::Peer => None,
         }
     }
 
-    /// Rolls back in the background and gives the connection back.
+    /// Rolls back in the background and returns the connection to the pool.
     pub fn roll_back(mut self) {
         tokio::task::spawn_local(async move {
-            let ask = self.checkout.connection().link.query(Query::Rollback);
-            if let Ok(Ok(answer)) = tokio::time::timeout(ROLLBACK_TIMEOUT, ask).await {
+            let request = self.checkout.connection().link.query(Query::Rollback);
+            if let Ok(Ok(answer)) = tokio::time::timeout(ROLLBACK_TIMEOUT, request).await {
                 if answer.state == State::Idle {
-                    // Whether the server undoes values set inside is not known.
+                    // The server may have reverted variables that were set in the transaction.
                     self.checkout.connection().is_dirty = true;
                     self.checkout.release();
                 }
@@ -69,9 +70,9 @@
     }
 }
 
-/// Runs a statement of the open transaction. On a failure the transaction is over: it is rolled
-/// back here, and the session is told.
-pub async fn inside(
+/// Runs a statement of the open transaction. If it fails, the transaction is rolled back and marked
+/// as failed in `session`.
+pub async fn run(
     group: &Rc<Group>,
     session: &mut Session,
     pinned: &mut Option<Pinned>,
@@ -80,12 +81,12 @@
     let Phase::Open(transaction) = session.phase() else {
         return Err(Refusal::new(Code::Aborted, "no transaction is open"));
     };
-    let mut held = match pinned.take() {
-        Some(held) => held,
+    let mut current = match pinned.take() {
+        Some(current) => current,
         None => match begin(group, session, transaction, call).await {
-            Ok(held) => held,
+            Ok(current) => current,
             Err(refusal) => {
-                fail(session, call);
+                fail_transaction(session, call);
                 return Err(refusal);
             }
         },
@@ -94,24 +95,24 @@
         session.sent_write();
     }
     let wrote = transaction.wrote || call.effect == Effect::Write;
-    for send in 1.. {
+    for attempt in 1.. {
         let commits = call.effect == Effect::Commit && wrote;
-        let term = held.term();
+        let term = current.term();
         if commits && (term.is_none() || !group.can_confirm()) {
-            held.roll_back();
-            fail(session, call);
+            current.roll_back();
+            fail_transaction(session, call);
             let why = "rolled back: no replica could confirm the commit";
             return Err(Refusal::new(Code::Aborted, why));
         }
         let Pinned {
             checkout,
             backend,
-            holder,
-        } = held;
+            endpoint,
+        } = current;
         let asked = clock::now();
         let sent = exchange(checkout, &backend, call, Condition::Always);
         let (answer, checkout) = match commits {
-            true => run::doubting(group, &backend, sent).await,
+            true => autocommit::doubt_if_overdue(group, &backend, sent).await,
             false => sent.await,
         };
         let (answer, checkout) = match (answer, checkout) {
@@ -119,137 +120,139 @@
             (answer, _) => {
                 let why = answer.err().unwrap_or_default();
                 note_failure(group, &backend, call, &why);
-                fail(session, call);
-                return Err(lost(call.effect, wrote, &why));
+                fail_transaction(session, call);
+                return Err(refusal_without_answer(call.effect, wrote, &why));
             }
         };
-        held = Pinned {
+        current = Pinned {
             checkout,
             backend,
-            holder,
+            endpoint,
         };
         if transaction.read_only || call.effect == Effect::Commit {
-            group.note_position(&held.backend, asked, answer.position);
+            group.note_position(&current.backend, asked, answer.position);
         }
         let refusal = match answer.result {
             Ok(success) => {
                 match call.effect {
                     Effect::Commit => {
-                        let backend = held.backend;
+                        let backend = current.backend;
                         session.ended();
                         if answer.state == State::Idle {
-                            held.checkout.release();
+                            current.checkout.release();
                         }
                         if wrote {
                             group.trust(&backend);
-                            let (term, left) = (term.unwrap_or_default(), call.left());
+                            let (term, left) = (term.unwrap_or_default(), call.remaining());
                             if !group.is_kept(&backend, term, answer.position, left).await {
-                                return Err(call.not_kept(group, &backend));
+                                return Err(call.commit_unconfirmed(group, &backend));
                             }
                             session.committed(answer.position);
                         }
                     }
-                    Effect::Read | Effect::Write => *pinned = Some(held),
+                    Effect::Read | Effect::Write => *pinned = Some(current),
                 }
                 return Ok(success);
             }
             Err(refusal) => refusal,
         };
-        note_failure(group, &held.backend, call, &refusal.to_string());
-        let again = refusal.code == Code::Busy && answer.state == State::Open;
-        if again && send < SENDS && call.left() > call.route.timeout / 3 {
-            tokio::time::sleep(SEND_AGAIN).await;
+        note_failure(group, &current.backend, call, &refusal.to_string());
+        let retryable = refusal.code == Code::Busy && answer.state == State::Open;
+        if retryable && attempt < MAX_ATTEMPTS && call.remaining() > call.route.timeout / 3 {
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         }
         if refusal.code == Code::ReadOnly {
-            group.depose(&held.backend);
+            group.depose(&current.backend);
         }
-        held.roll_back();
-        fail(session, call);
-        return Err(failed(call.effect, wrote, refusal));
+        current.roll_back();
+        fail_transaction(session, call);
+        return Err(refusal_for_failure(call.effect, wrote, refusal));
     }
     unreachable!("the loop ends with an answer")
 }
 
-/// The session after a statement failed: after a `COMMIT` no transaction is open.
-pub fn fail(session: &mut Session, call: &Call<'_>) {
+/// Updates the session after a statement failed. After a failed `COMMIT` no transaction is open.
+pub fn fail_transaction(session: &mut Session, call: &Call<'_>) {
     match call.effect {
         Effect::Commit => session.ended(),
         Effect::Read | Effect::Write => session.failed(),
     }
 }
 
-/// What the caller is told when no answer came. Closing the connection rolls back whatever was not
-/// committed, so only the `COMMIT` of a transaction that wrote is in doubt.
-pub fn lost(effect: Effect, wrote: bool, why: &str) -> Refusal {
+/// Returns the refusal for a statement without an answer. Closing the connection rolls back an
+/// uncommitted transaction, so the outcome is unknown only for the `COMMIT` of a transaction that
+/// wrote.
+pub fn refusal_without_answer(effect: Effect, wrote: bool, why: &str) -> Refusal {
     match effect == Effect::Commit && wrote {
         true => Refusal::new(Code::Unknown, format!("outcome unknown: {why}")),
         false => Refusal::new(Code::Aborted, format!("rolled back: {why}")),
     }
 }
 
-/// What the caller is told when the server refused. The transaction is rolled back, so nothing of
-/// it is kept, unless a `COMMIT` ran into its failure.
-pub fn failed(effect: Effect, wrote: bool, refusal: Refusal) -> Refusal {
-    let doubt = effect == Effect::Commit && wrote;
+/// Returns the refusal for a statement that the server refused. The transaction is rolled back and
+/// has no effect, unless a `COMMIT` of writes failed while it ran; that refusal is passed on.
+pub fn refusal_for_failure(effect: Effect, wrote: bool, refusal: Refusal) -> Refusal {
+    let may_be_committed = effect == Effect::Commit && wrote;
     match refusal.code {
         code if code.guarantees_not_applied() => refusal,
         Code::Syntax | Code::NoStatement => refusal,
-        _ if doubt => refusal,
+        _ if may_be_committed => refusal,
         _ => Refusal::new(Code::Aborted, format!("rolled back: {refusal}")),
     }
 }
 
-/// Opens the transaction on a server that holds what its reads must see.
+/// Opens the transaction on a server that is fresh enough for its reads.
 async fn begin(
     group: &Rc<Group>,
     session: &Session,
     transaction: Transaction,
     call: &Call<'_>,
 ) -> Result<Pinned, Refusal> {
-    let mut last = call.busy("no server can take the transaction", SEND_AGAIN);
+    let mut last = call.busy("no server is available for the transaction", RETRY_PAUSE);
     let mut obstacle = Obstacle::NoServer;
-    let doubtful = call.isolated || group.doubted();
-    if doubtful && !transaction.read_only && !group.confirm(transaction.started_at).await {
-        return Err(call.unconfirmed());
+    let needs_confirmation = call.isolated || group.doubted();
+    if needs_confirmation && !transaction.read_only && !group.confirm(transaction.started_at).await
+    {
+        return Err(call.primary_unconfirmed());
     }
     loop {
         let after = match call.route.consistency {
             Consistency::Latest => group.reached(),
             Consistency::Bounded(_) | Consistency::Session(_) => {
-                let since = call.since(transaction.started_at);
+                let since = call.freshness_bound(transaction.started_at);
                 match group.floor(since, session.floor()).await {
                     Some(floor) => Some(floor),
-                    None => return Err(call.busy("nothing proves what it must see", SEND_AGAIN)),
+                    None => return Err(call.busy("required log position is unknown", RETRY_PAUSE)),
                 }
             }
         };
         let latest = call.route.consistency == Consistency::Latest;
         let servers = match (latest, transaction.read_only) {
-            (true, _) => run::confirmed_leader(group, call).await?,
+            (true, _) => autocommit::confirmed_leader(group, call).await?,
             (false, true) => group.order(clock::now()),
-            (false, false) => match run::wait_for_leader(group, call).await {
+            (false, false) => match autocommit::wait_for_leader(group, call).await {
                 Some(leader) => vec![leader.backend],
-                None => return Err(call.busy("no primary is known", SEND_AGAIN)),
+                None => return Err(call.busy("no primary is known", RETRY_PAUSE)),
             },
         };
         for backend in servers {
-            if call.late() {
+            if call.is_expired() {
                 break;
             }
             let mut checkout = match checkout(group, &backend, session, call).await {
                 Ok(checkout) => checkout,
-                Err(Failure::Full(refusal)) => {
+                Err(Failure::QueueFull(refusal)) => {
                     obstacle = Obstacle::QueueFull;
                     last = refusal;
                     continue;
                 }
-                Err(Failure::NotRun(refusal) | Failure::Ran(refusal)) => {
+                Err(Failure::NotRun(refusal) | Failure::Failed(refusal)) => {
                     last = refusal;
                     continue;
                 }
-                Err(Failure::Lost(why)) => {
-                    last = call.busy(&why, SEND_AGAIN);
+                Err(Failure::NoAnswer(why)) => {
+                    last = call.busy(&why, RETRY_PAUSE);
                     continue;
                 }
             };
@@ -258,24 +261,24 @@
                 condition: after.map_or(Condition::Always, Condition::After),
             };
             let asked = clock::now();
-            let ask = checkout.connection().link.query(begin);
-            match tokio::time::timeout(call.left(), ask).await {
+            let request = checkout.connection().link.query(begin);
+            match tokio::time::timeout(call.remaining(), request).await {
                 Ok(Ok(answer)) => {
                     let trusted = group.note_position(&backend, asked, answer.position);
                     match answer.result {
                         Ok(_) if latest && !trusted => {
-                            last = call.busy("its server does not lead any more", SEND_AGAIN);
+                            last = call.busy("the server is no longer the primary", RETRY_PAUSE);
                         }
                         Ok(_) if answer.state == State::Open => {
                             let term = group.term_of(&backend);
-                            let holder = Holder::Own { term };
+                            let endpoint = Endpoint::Server { term };
                             return Ok(Pinned {
                                 checkout,
                                 backend,
-                                holder,
+                                endpoint,
                             });
                         }
-                        Ok(_) => last = call.busy("the server opened none", SEND_AGAIN),
+                        Ok(_) => last = call.busy("the server opened no transaction", RETRY_PAUSE),
                         Err(refusal) => {
                             note_failure(group, &backend, call, &refusal.to_string());
                             let lost_log = latest && refusal.code == Code::Lagging;
@@ -285,23 +288,23 @@
                             if answer.state == State::Idle {
                                 checkout.release();
                             }
-                            last = call.busy(&refusal.to_string(), SEND_AGAIN);
+                            last = call.busy(&refusal.to_string(), RETRY_PAUSE);
                         }
                     }
                 }
                 Ok(Err(error)) => {
                     backend.avoid();
-                    last = call.busy(&error.to_string(), SEND_AGAIN);
+                    last = call.busy(&error.to_string(), RETRY_PAUSE);
                 }
                 Err(_) => {
                     backend.avoid();
-                    last = call.busy("no answer in time", SEND_AGAIN);
+                    last = call.busy("no answer in time", RETRY_PAUSE);
                 }
             }
         }
-        if !call.offers_again(obstacle) {
+        if !call.may_retry(obstacle) {
             return Err(last);
         }
-        tokio::time::sleep(SEND_AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
