--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -171,8 +171,8 @@
         self.latency.get().value()
     }
 
-    /// Whether the server's VM is reachable, by probing it with a new connection. If it is not, the
-    /// server is avoided.
+    /// Whether the server's VM is reachable, by probing it with a new connection unless a recent probe
+    /// succeeded. An unreachable server is avoided.
     ///
     /// An open connection to a VM that lost power or network shows no error before a timeout. A new
     /// one is accepted by the VM's kernel even when the VM is busy, so a failure proves that waiting
--- a/crates/proxy/src/line/backend/pool.rs
+++ b/crates/proxy/src/line/backend/pool.rs
@@ -224,6 +224,8 @@
         state.open < limit && !state.closed && clock::now() >= self.backoff_until.get()
     }
 
+    /// Takes the idle connection with the lowest setup cost, preferring the most recently used one.
+    /// Removes connections that are closed or have unread data.
     fn take_idle(&self, variables: &Variables) -> Option<Box<Connection>> {
         let mut state = self.state.borrow_mut();
         loop {
--- a/crates/proxy/src/line/backend/pool/checkout.rs
+++ b/crates/proxy/src/line/backend/pool/checkout.rs
@@ -16,13 +16,14 @@
     pub(super) checked_out_at: Moment,
 }
 
-/// A permit to open a connection, which counts towards the pool's limit until it is dropped.
+/// A permit to open a connection. It counts towards the pool's limit until it is dropped.
 pub struct Permit {
     pool: Rc<Pool>,
     is_held: bool,
 }
 
 impl Permit {
+    /// Creates a permit for a connection that is already counted in the pool's state.
     pub fn new(pool: Rc<Pool>) -> Self {
         let is_held = true;
         Self { pool, is_held }
--- a/crates/proxy/src/line/traffic/autocommit.rs
+++ b/crates/proxy/src/line/traffic/autocommit.rs
@@ -79,6 +79,7 @@
 struct Attempts {
     rounds: usize,
     obstacle: Obstacle,
+    /// How often the read failed on each server.
     failed: Vec<(Incarnation, u32)>,
     last: Option<Failure>,
 }
@@ -120,6 +121,7 @@
         self.last = Some(failure);
     }
 
+    /// Counts a round over all servers; returns whether it was the last.
     fn finish_round(&mut self) -> bool {
         self.rounds += 1;
         self.rounds >= Self::MAX_ROUNDS
@@ -222,9 +224,9 @@
     })
 }
 
-/// Waits for the answer to a write. If it is overdue, the primary is doubted: later writes are sent
-/// only after a replica has confirmed it.
-pub async fn doubt_if_overdue<T>(
+/// Waits for the answer to a write. If it is overdue, the primary is suspected of being partitioned:
+/// later writes are sent only after replicas have confirmed it.
+pub async fn suspect_if_overdue<T>(
     group: &Rc<Group>,
     backend: &Rc<Backend>,
     sent: impl std::future::Future<Output = T>,
@@ -245,7 +247,7 @@
     session: &mut Session,
     call: &Call<'_>,
 ) -> Result<Success, Refusal> {
-    // In a partition the primary may be separated from its replicas and never answer a write.
+    // In a partition the primary may be separated from its replicas, and would never answer a write.
     if (call.isolated || group.doubted()) && !group.confirm(call.arrived).await {
         return Err(call.primary_unconfirmed());
     }
@@ -270,7 +272,7 @@
         };
         let asked = clock::now();
         let sent = exchange(checkout, backend, call, Condition::Always);
-        let (answer, checkout) = doubt_if_overdue(group, backend, sent).await;
+        let (answer, checkout) = suspect_if_overdue(group, backend, sent).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(why) => {
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -44,7 +44,7 @@
     pub route: &'a Route,
     /// When its message was read.
     pub arrived: Moment,
-    /// Whether this proxy's data centre was partitioned from the others then.
+    /// Whether this proxy's data centre was partitioned from the others when it arrived.
     pub isolated: bool,
 }
 
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -323,8 +323,8 @@
         result.map(Some)
     }
 
-    /// The proxies to which the statement is forwarded; `None` if this proxy runs it. A transaction
-    /// stays where it was begun.
+    /// The proxies to which the statement may be forwarded; `None` if this proxy runs it. The list is
+    /// empty for a transaction that is open on another proxy, as it stays there.
     fn owners(&self, route: &Route) -> Option<Vec<Rc<Backend>>> {
         match (&self.pinned, self.origin) {
             (Some(pinned), _) if pinned.endpoint == Endpoint::Peer => Some(Vec::new()),
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -112,7 +112,7 @@
         let asked = clock::now();
         let sent = exchange(checkout, &backend, call, Condition::Always);
         let (answer, checkout) = match commits {
-            true => autocommit::doubt_if_overdue(group, &backend, sent).await,
+            true => autocommit::suspect_if_overdue(group, &backend, sent).await,
             false => sent.await,
         };
         let (answer, checkout) = match (answer, checkout) {
