--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -307,7 +307,7 @@
             isolated: self.shared.isolated.borrow().is_isolated(arrived),
         };
         let idle = self.state.phase() == Phase::Idle;
-        if let Some(peers) = self.owners(&route) {
+        if let Some(peers) = self.forwarding_targets(&route) {
             match self.forward(&peers, idle, &call).await {
                 Outcome::Answered(result) => return result.map(Some),
                 Outcome::NoOwner => log_no_owner(&call),
@@ -325,7 +325,7 @@
 
     /// The proxies to which the statement may be forwarded; `None` if this proxy runs it. The list is
     /// empty for a transaction that is open on another proxy, as it stays there.
-    fn owners(&self, route: &Route) -> Option<Vec<Rc<Backend>>> {
+    fn forwarding_targets(&self, route: &Route) -> Option<Vec<Rc<Backend>>> {
         match (&self.pinned, self.origin) {
             (Some(pinned), _) if pinned.endpoint == Endpoint::Peer => Some(Vec::new()),
             (None, Origin::Caller) => self.shared.peers.of(&route.service),
