--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line.rs
@@ -11,12 +11,12 @@
 pub mod group;
 pub mod isolation;
 pub mod journal;
-pub mod life;
 pub mod mirror;
 pub mod operator;
 pub mod peers;
-pub mod reach;
+pub mod reachability;
 pub mod records;
+pub mod restart;
 pub mod shared;
 pub mod stop;
 pub mod traffic;
@@ -65,7 +65,7 @@
     let metrics = Metrics::default();
     let stop = stop::Stop::new(line.grace);
     let (isolation, isolated) = watch::channel(Isolation::default());
-    let (records, desk) = records::channel();
+    let (records, responder) = records::channel();
     let mirror = mirror::Handle::default();
     let endpoint = operator::Context {
         id: config.id.clone(),
@@ -78,7 +78,7 @@
     };
     let links = thread::Links {
         publish,
-        desk,
+        responder,
         mirror: mirror.clone(),
     };
     let operator = thread::spawn(&config, &line, peer, links, endpoint)?;
@@ -88,7 +88,7 @@
     crate::announce::addresses(listen, operator);
     journal::start();
     journal::process("start", &config.id, &listen.to_string());
-    let suspicion = reach::Suspicion::default();
+    let failure_signal = reachability::FailureSignal::default();
     let shared = Rc::new(Shared {
         id: config.id.clone(),
         dc: config.dc.clone(),
@@ -98,21 +98,21 @@
         metrics,
         stop: stop.clone(),
         isolated,
-        suspicion: suspicion.clone(),
+        failure_signal: failure_signal.clone(),
         records,
         mirror,
-        open: Rc::default(),
+        open_count: Rc::default(),
     });
-    let looking = isolation::run(shared.clone(), suspicion, isolation);
+    let looking = isolation::run(shared.clone(), failure_signal, isolation);
     tokio::task::spawn_local(looking);
-    tokio::task::spawn_local(shared.clone().follow(view));
+    tokio::task::spawn_local(shared.clone().apply_views(view));
     tokio::task::spawn_local(stop::watch_settings(config.clone()));
     if let Some(listener) = peers {
         tokio::task::spawn_local(accept_peers(listener, shared.clone()));
     }
     accept(&listener, &shared, &stop).await?;
     drop(listener);
-    stop.drained(shared.open.clone()).await;
+    stop.drain(shared.open_count.clone()).await;
     journal::process("stop", &config.id, &listen.to_string());
     journal::flush();
     Ok(())
@@ -124,7 +124,7 @@
     shared: &Rc<Shared>,
     stop: &stop::Stop,
 ) -> Result<(), Error> {
-    let mut ended = std::pin::pin!(stop.clone().listener_closes());
+    let mut ended = std::pin::pin!(stop.clone().wait_for_listener_close());
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -28,8 +28,9 @@
 use crate::{
     line::{
         backend::pool::{Pool, Rank, Wish},
-        clock, life,
-        reach::{self, Suspicion},
+        clock,
+        reachability::{self, FailureSignal},
+        restart,
     },
     metrics::Metrics,
 };
@@ -84,14 +85,19 @@
     lost: Cell<bool>,
     /// When its VM last accepted a connection made to find out whether it is there.
     reached: Cell<Moment>,
-    suspicion: Suspicion,
+    failure_signal: FailureSignal,
 }
 
 impl Backend {
     /// A server that nothing is known of yet, with `limit` connections at most.
-    pub fn new(entry: &Entry, limit: usize, suspicion: Suspicion, metrics: Metrics) -> Rc<Self> {
+    pub fn new(
+        entry: &Entry,
+        limit: usize,
+        failure_signal: FailureSignal,
+        metrics: Metrics,
+    ) -> Rc<Self> {
         let pool = Pool::new(entry.server.clone(), limit, CONNECT_TIMEOUT, metrics);
-        Self::with_pool(entry, pool, (REACH_TIMEOUT, MOST_LOOK), suspicion)
+        Self::with_pool(entry, pool, (REACH_TIMEOUT, MOST_LOOK), failure_signal)
     }
 
     /// Another proxy, spoken to as a server is. Its VM accepts a connection however busy its process is, so one
@@ -102,7 +108,7 @@
             entry,
             pool,
             (PEER_REACH_TIMEOUT, PEER_MOST_LOOK),
-            Suspicion::default(),
+            FailureSignal::default(),
         )
     }
 
@@ -110,7 +116,7 @@
         entry: &Entry,
         pool: Rc<Pool>,
         (reached_within, most_look): (Duration, Duration),
-        suspicion: Suspicion,
+        failure_signal: FailureSignal,
     ) -> Rc<Self> {
         Rc::new(Self {
             reached_within,
@@ -124,7 +130,7 @@
             latency: Cell::new(Mean::new(FIRST_LATENCY)),
             avoid_until: Cell::default(),
             reached: Cell::default(),
-            suspicion,
+            failure_signal,
         })
     }
 
@@ -180,7 +186,7 @@
         if asked.since(self.reached.get()) < REACH_HOLDS {
             return true;
         }
-        let reached = reach::connects(self.server.address, self.reached_within).await;
+        let reached = reachability::can_connect(self.server.address, self.reached_within).await;
         match reached {
             true => self.reached.set(asked),
             false => self.unreachable(),
@@ -223,7 +229,7 @@
     async fn look_for(self: Rc<Self>) {
         let mut pause = LOOK_FIRST;
         while !self.pool.is_closed() {
-            if reach::connects(self.server.address, self.reached_within).await {
+            if reachability::can_connect(self.server.address, self.reached_within).await {
                 break;
             }
             tokio::time::sleep(pause).await;
@@ -236,7 +242,7 @@
     /// Notes that the server could not be reached.
     pub fn unreachable(&self) {
         self.avoid();
-        self.suspicion.notify_one();
+        self.failure_signal.notify_one();
     }
 
     /// Leaves the server alone for a while: it did not answer.
@@ -291,6 +297,6 @@
             // Only for what it notes: a server that is there may just be busy.
             self.reachable().await;
         }
-        life::admit(&self.life, &self.server.incarnation, status?, asked)
+        restart::check_status(&self.life, &self.server.incarnation, status?, asked)
     }
 }
--- a/crates/proxy/src/line/control/feeder.rs
+++ b/crates/proxy/src/line/control/feeder.rs
@@ -51,6 +51,6 @@
         };
         let answer = link.query(Query::Follow(question)).await?;
         self.link = Some(link);
-        Response::read(&answer.result?.rows, |key| mirror.present(key))
+        Response::read(&answer.result?.rows, |key| mirror.current(key))
     }
 }
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -158,7 +158,7 @@
     fn take(&self, source: &Source, update: &Update<Value>, known: Moment) -> bool {
         let control = &self.control;
         let before = control.mirror.revision();
-        if !control.mirror.take(source, update, known) {
+        if !control.mirror.apply(source, update, known) {
             return false;
         }
         let restored = before != 0 && era::of(before) < era::of(update.revision);
@@ -194,7 +194,7 @@
         let known = control.mirror.known_until();
         control.expire(known);
         control.registry.borrow_mut().note_synced(known);
-        records::note_followed(&control.followed, known);
+        records::note_synced(&control.followed, known);
         if self.source.as_ref() != Some(source) {
             journal::write("source", json!({ "of_changes": format!("{source:?}") }));
             self.source = Some(source.clone());
@@ -217,7 +217,7 @@
         }
         if self.source.as_ref() == Some(source) {
             self.source = None;
-            control.mirror.lost();
+            control.mirror.note_source_lost();
             journal::dependency("source", "lost", &format!("{source:?}: {error}"));
         }
         let next = self.choose();
--- a/crates/proxy/src/line/control/observe.rs
+++ b/crates/proxy/src/line/control/observe.rs
@@ -20,7 +20,7 @@
     Error,
 };
 
-use crate::line::{clock, life, reach};
+use crate::line::{clock, reachability, restart};
 
 /// How long a server may take to answer before its VM is asked for a new connection as well. A
 /// status waits behind the statements before it.
@@ -164,7 +164,7 @@
     /// Failure: a server under full load answers late, and its group would lose a second of writes
     /// to a failover that helps nobody. Guard: only a VM that accepts nothing is lost at once.
     async fn accepts(&self) -> bool {
-        reach::connects(self.server.address, REACH_TIMEOUT).await
+        reachability::can_connect(self.server.address, REACH_TIMEOUT).await
     }
 
     /// Whether the server has answered within [`SLOW_LIMIT`], or is being watched no longer.
@@ -177,7 +177,7 @@
     pub async fn order(&self, order: Command, limit: Duration) -> Result<Status, Error> {
         let asked = clock::now();
         let status = self.give(order, limit).await?;
-        life::admit(&self.life, &self.server.incarnation, status, asked)
+        restart::check_status(&self.life, &self.server.incarnation, status, asked)
     }
 
     async fn give(&self, order: Command, limit: Duration) -> Result<Status, Error> {
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -276,7 +276,7 @@
         let members = self.members.borrow_mut().count(clock::now());
         let peers = self.members.borrow().peers(clock::now());
         let view = self.publish.borrow().clone();
-        if (members, &peers) != (view.members, &view.peers) {
+        if (members, &peers) != (view.proxy_count, &view.peers) {
             self.publish();
         }
         if !gone.is_empty() {
@@ -316,7 +316,7 @@
             slots: slots.min().unwrap_or(1),
         };
         let dcs: Set<&str> = now.peers.iter().map(|peer| peer.dc.as_str()).collect();
-        let allocation = Allocation::new(now.members, dcs.len(), limits);
+        let allocation = Allocation::new(now.proxy_count, dcs.len(), limits);
         let query = Query {
             own: &self.id,
             dc: &self.dc,
@@ -353,8 +353,8 @@
         let mut view = View {
             catalog,
             servers,
-            counted: records.iter().map(counted).collect(),
-            members: count,
+            voters: records.iter().map(counted).collect(),
+            proxy_count: count,
             peers,
             ownership: Map::default(),
         };
--- a/crates/proxy/src/line/control/testify.rs
+++ b/crates/proxy/src/line/control/testify.rs
@@ -12,17 +12,17 @@
         state::Control,
     },
     journal,
-    records::Inquiry,
+    records::Request,
 };
 
 /// Answers until the process ends.
-pub async fn run(control: Rc<Control>, mut inquiries: mpsc::UnboundedReceiver<Inquiry>) {
+pub async fn run(control: Rc<Control>, mut inquiries: mpsc::UnboundedReceiver<Request>) {
     while let Some(inquiry) = inquiries.recv().await {
         tokio::task::spawn_local(answer(control.clone(), inquiry));
     }
 }
 
-async fn answer(control: Rc<Control>, inquiry: Inquiry) {
+async fn answer(control: Rc<Control>, inquiry: Request) {
     let testimony = testimony(&control, &inquiry.service).await;
     // Whoever asked may have given up meanwhile.
     let _ = inquiry.answer.send(testimony);
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -27,7 +27,7 @@
         journal,
         mirror::Handle,
         operator,
-        records::{Desk, Inquiry},
+        records::{Request, Responder},
         view::View,
     },
 };
@@ -35,7 +35,7 @@
 /// What the control thread shares with traffic.
 pub struct Links {
     pub publish: watch::Sender<Arc<View>>,
-    pub desk: Desk,
+    pub responder: Responder,
     pub mirror: Handle,
 }
 
@@ -50,7 +50,7 @@
     let started = clock::now();
     let Links {
         publish,
-        desk,
+        responder,
         mirror,
     } = links;
     let store = Store::new(&config.kv)?;
@@ -88,10 +88,10 @@
             followed_lately: Cell::new(false),
             place,
             mirror,
-            followed: desk.followed,
+            followed: responder.synced_until,
             publish,
         });
-        run(control, desk.inquiries, endpoint, counters);
+        run(control, responder.requests, endpoint, counters);
     };
     std::thread::Builder::new()
         .name("control".to_owned())
@@ -104,7 +104,7 @@
 
 fn run(
     control: Rc<Control>,
-    inquiries: mpsc::UnboundedReceiver<Inquiry>,
+    inquiries: mpsc::UnboundedReceiver<Request>,
     endpoint: Endpoint,
     counters: Option<Endpoint>,
 ) {
--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -3,10 +3,10 @@
 //! Everything here is asked for when a statement needs it, so a group without traffic costs
 //! nothing. The rules are those of [`freshness`]; this module asks the questions.
 
-mod flight;
-mod kept;
-mod proof;
+mod durability;
+mod freshness;
 mod search;
+mod single_flight;
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,10 +23,10 @@
 };
 use serde_json::json;
 
-use self::flight::Flight;
+use self::single_flight::SingleFlight;
 
 use crate::{
-    line::{backend::Backend, journal, reach::Suspicion, records::Records},
+    line::{backend::Backend, journal, reachability::FailureSignal, records::Reader},
     metrics::Metrics,
 };
 
@@ -41,7 +41,7 @@
 pub struct Group {
     pub name: String,
     dc: String,
-    suspicion: Suspicion,
+    failure_signal: FailureSignal,
     pub metrics: Metrics,
     servers: RefCell<Vec<Rc<Backend>>>,
     leader: RefCell<Option<Leader>>,
@@ -55,8 +55,8 @@
     /// The servers that count for a promotion, those that have vanished included, if a holder of the
     /// failover duty has written them down.
     counted: RefCell<Option<Vec<Incarnation>>>,
-    records: Records,
-    testimony: Flight,
+    records: Reader,
+    testimony: SingleFlight,
     /// A write to the primary is long without an answer, and none has been answered since.
     doubted: Cell<bool>,
     /// When a replica last spoke for another primary.
@@ -64,9 +64,9 @@
     /// The newest position of the primary whose lease was not yet confirmed.
     unconfirmed: Cell<Option<Watermark>>,
     searched: Cell<Moment>,
-    search: Flight,
-    confirmation: Flight,
-    refresh: Flight,
+    search: SingleFlight,
+    confirmation: SingleFlight,
+    refresh: SingleFlight,
     turn: Cell<usize>,
 }
 
@@ -75,14 +75,14 @@
     pub fn new(
         name: &str,
         dc: &str,
-        suspicion: Suspicion,
-        records: Records,
+        failure_signal: FailureSignal,
+        records: Reader,
         metrics: Metrics,
     ) -> Rc<Self> {
         Rc::new(Self {
             name: name.to_owned(),
             dc: dc.to_owned(),
-            suspicion,
+            failure_signal,
             metrics,
             servers: RefCell::default(),
             leader: RefCell::default(),
@@ -94,14 +94,14 @@
             search_due: Cell::default(),
             counted: RefCell::default(),
             records,
-            testimony: Flight::default(),
+            testimony: SingleFlight::default(),
             denied: Cell::default(),
             doubted: Cell::default(),
             unconfirmed: Cell::default(),
             searched: Cell::default(),
-            search: Flight::default(),
-            confirmation: Flight::default(),
-            refresh: Flight::default(),
+            search: SingleFlight::default(),
+            confirmation: SingleFlight::default(),
+            refresh: SingleFlight::default(),
             turn: Cell::default(),
         })
     }
@@ -150,7 +150,7 @@
             if !servers.iter().any(kept) {
                 changed = true;
                 backend.pool.close();
-                self.depose(&backend);
+                self.clear_leader(&backend);
             }
         }
         for backend in &servers {
@@ -188,7 +188,7 @@
     }
 
     /// Closes idle connections of a group that others hold connections for.
-    pub fn close_unowned(&self) {
+    pub fn close_idle_if_not_owned(&self) {
         if !self.owned.get() {
             let servers = self.servers.borrow();
             servers.iter().for_each(|backend| backend.pool.close_idle());
@@ -196,7 +196,12 @@
     }
 
     fn new_backend(&self, entry: &Entry, limit: usize) -> Rc<Backend> {
-        Backend::new(entry, limit, self.suspicion.clone(), self.metrics.clone())
+        Backend::new(
+            entry,
+            limit,
+            self.failure_signal.clone(),
+            self.metrics.clone(),
+        )
     }
 
     /// All servers.
@@ -222,7 +227,7 @@
     }
 
     /// Whether `backend` is known to lead.
-    pub fn led_by(&self, backend: &Rc<Backend>) -> bool {
+    pub fn is_leader(&self, backend: &Rc<Backend>) -> bool {
         let leader = self.leader.borrow();
         leader
             .as_ref()
@@ -230,22 +235,22 @@
     }
 
     /// The term that `backend` is known to lead.
-    pub fn term_of(&self, backend: &Rc<Backend>) -> Option<u64> {
+    pub fn leader_term(&self, backend: &Rc<Backend>) -> Option<u64> {
         let leader = self.known_leader()?;
         Rc::ptr_eq(&leader.backend, backend).then_some(leader.term)
     }
 
     /// Notes that `backend` does not lead, or cannot be reached.
-    pub fn depose(&self, backend: &Rc<Backend>) {
-        if self.led_by(backend) {
+    pub fn clear_leader(&self, backend: &Rc<Backend>) {
+        if self.is_leader(backend) {
             *self.leader.borrow_mut() = None;
             self.revoke();
         }
     }
 
     /// Notes that a write to `backend` is long without an answer.
-    pub fn doubt(&self, backend: &Rc<Backend>) {
-        if self.led_by(backend) && !self.doubted.replace(true) {
+    pub fn note_slow_write(&self, backend: &Rc<Backend>) {
+        if self.is_leader(backend) && !self.doubted.replace(true) {
             journal::write(
                 "doubt",
                 json!({ "service": self.name, "server": backend.server.id() }),
@@ -255,8 +260,8 @@
     }
 
     /// Notes that a write to `backend` was answered.
-    pub fn trust(&self, backend: &Rc<Backend>) {
-        if self.led_by(backend) {
+    pub fn note_write_answered(&self, backend: &Rc<Backend>) {
+        if self.is_leader(backend) {
             self.doubted.set(false);
         }
     }
@@ -267,7 +272,7 @@
     /// caller hears that the outcome is unknown and cannot repeat it. Guard: after the first one
     /// that hangs, a write is sent only if a replica, asked after it came, obeys the primary; else
     /// its caller hears that nothing was run.
-    pub fn doubted(&self) -> bool {
+    pub fn is_leader_suspect(&self) -> bool {
         self.doubted.get()
     }
 
@@ -278,12 +283,12 @@
 
     /// The servers that may take a read, best first. Servers that leave or did not answer come
     /// last, and those that left too long ago not at all.
-    pub fn order(&self, now: Moment) -> Vec<Rc<Backend>> {
+    pub fn read_candidates(&self, now: Moment) -> Vec<Rc<Backend>> {
         let mut servers = self.servers();
         servers.retain(|backend| backend.takes_work(now));
         let candidates: Vec<placement::Candidate> = servers
             .iter()
-            .map(|backend| backend.candidate(self.led_by(backend), &self.dc))
+            .map(|backend| backend.candidate(self.is_leader(backend), &self.dc))
             .collect();
         let turn = self.turn.get();
         self.turn.set(turn.wrapping_add(1));
--- a/crates/proxy/src/line/group/kept.rs
+++ b/crates/proxy/src/line/group/durability.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-use super::{flight::Landing, Group};
+use super::{single_flight::Guard, Group};
 
 use crate::line::{backend::Backend, clock, journal};
 
@@ -44,7 +44,7 @@
     /// Failure: a primary acknowledges a commit on the word of a replica that no promoter knows of, or
     /// that received it only when a promotion had taken effect; the server that is promoted lacks what
     /// callers were told is kept. Guard: [`Commit::is_durable`], at the cost of one question a commit.
-    pub async fn is_kept(
+    pub async fn wait_until_durable(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
         term: u64,
@@ -79,7 +79,7 @@
     /// Load pattern: the store is away for longer than a list of servers holds, and one that counts is
     /// gone: no proof can come, and every commit would end with an unknown outcome at its deadline, which
     /// its caller may not repeat.
-    pub fn can_confirm(&self) -> bool {
+    pub fn can_confirm_commits(&self) -> bool {
         self.sync_replicas.get() == 0
             || self.list() == Membership::Current
             || self.unregistered() == 0
@@ -93,7 +93,7 @@
 
     /// Whether `backend` is known as the primary of the commit's term.
     fn leads(&self, backend: &Rc<Backend>, commit: &Commit) -> bool {
-        self.term_of(backend) == Some(commit.term())
+        self.leader_term(backend) == Some(commit.term())
     }
 
     /// One round: asks the replicas, and the store if they have the commit and that alone is no proof.
@@ -187,12 +187,12 @@
         commit: &Commit,
         obeyed: Option<Moment>,
     ) -> bool {
-        if !self.testimony.starts() {
-            self.testimony.ended.notified().await;
+        if !self.testimony.try_start() {
+            self.testimony.finished.notified().await;
             return self.is_proved(backend, commit);
         }
-        let _landing = Landing(&self.testimony);
-        let Some(testimony) = self.records.testimony(&self.name).await else {
+        let _landing = Guard(&self.testimony);
+        let Some(testimony) = self.records.snapshot(&self.name).await else {
             return false;
         };
         let leader = &backend.server.incarnation;
--- a/crates/proxy/src/line/group/proof.rs
+++ b/crates/proxy/src/line/group/freshness.rs
@@ -38,7 +38,7 @@
     ///
     /// Failure: the primary is cut off with this data centre, another one was promoted, and a read
     /// here misses what that one acknowledged. Guard: [`Lease`].
-    pub async fn confirm(self: &Rc<Self>, at: Moment) -> bool {
+    pub async fn confirm_leader(self: &Rc<Self>, at: Moment) -> bool {
         // A poll that was already under way when the read came may not be enough.
         for _ in 0..3 {
             let lease = self.lease.get();
@@ -49,14 +49,14 @@
                 return true;
             }
             self.confirm_ahead();
-            self.confirmation.ended.notified().await;
+            self.confirmation.finished.notified().await;
         }
         self.lease.get().covers(at)
     }
 
     /// Renews the lease in the background, so that the next read need not wait for it.
     fn confirm_ahead(self: &Rc<Self>) {
-        if !self.confirmation.starts() {
+        if !self.confirmation.try_start() {
             return;
         }
         let group = self.clone();
@@ -64,7 +64,7 @@
             let wait = clock::now().until(group.denied.get() + ASK_AGAIN);
             tokio::time::sleep(wait).await;
             group.ask_replicas().await;
-            group.confirmation.end();
+            group.confirmation.finish();
         });
     }
 
@@ -91,7 +91,7 @@
         let mut patience = STATUS_PATIENCE;
         while let Ok(Some((replica, answer))) = timeout(patience, answers.next()).await {
             // Meanwhile another search may have found another primary.
-            if !self.led_by(&leader.backend) {
+            if !self.is_leader(&leader.backend) {
                 return;
             }
             let Ok(status) = answer else { continue };
@@ -115,7 +115,7 @@
         self.denied.set(clock::now());
         self.revoke();
         if status.term > leader.term {
-            self.depose(&leader.backend);
+            self.clear_leader(&leader.backend);
         }
     }
 
@@ -150,7 +150,7 @@
             .newest_mark_before(asked)
             .is_some_and(|mark| position < mark);
         if position.term > leader.term || lost_log {
-            self.depose(backend);
+            self.clear_leader(backend);
             return false;
         }
         self.note(Watermark { asked, position });
@@ -165,7 +165,7 @@
     }
 
     /// What the primary's log must go up to for a read that must see every commit.
-    pub fn reached(&self) -> Option<Position> {
+    pub fn newest_position(&self) -> Option<Position> {
         self.marks.borrow().newest_position()
     }
 
@@ -177,7 +177,11 @@
     }
 
     /// What a read must see that may miss what was acknowledged after `since`, and must see `own`.
-    pub async fn floor(self: &Rc<Self>, since: Moment, own: Option<Position>) -> Option<Position> {
+    pub async fn required_position(
+        self: &Rc<Self>,
+        since: Moment,
+        own: Option<Position>,
+    ) -> Option<Position> {
         for _ in 0..2 {
             let floor = freshness::required(since, &self.marks.borrow(), own);
             if floor.is_some() {
@@ -189,19 +193,19 @@
                 return floor;
             }
             self.refresh_ahead();
-            self.refresh.ended.notified().await;
+            self.refresh.finished.notified().await;
         }
         freshness::required(since, &self.marks.borrow(), own)
     }
 
     fn refresh_ahead(self: &Rc<Self>) {
-        if !self.refresh.starts() {
+        if !self.refresh.try_start() {
             return;
         }
         let group = self.clone();
         tokio::task::spawn_local(async move {
             group.ask_position().await;
-            group.refresh.end();
+            group.refresh.finish();
         });
     }
 
@@ -225,13 +229,13 @@
     /// Asks the primary for the end of its log; whether it said so.
     async fn ask_primary(self: &Rc<Self>, leader: &Leader) -> bool {
         let asked = clock::now();
-        let (status, _) = tokio::join!(leader.backend.status(), self.confirm(asked));
+        let (status, _) = tokio::join!(leader.backend.status(), self.confirm_leader(asked));
         match status {
             Ok(status) if status.role == Role::Primary && status.term == leader.term => {
                 self.note_position(&leader.backend, asked, Some(status.received));
                 return true;
             }
-            Ok(_) => self.depose(&leader.backend),
+            Ok(_) => self.clear_leader(&leader.backend),
             Err(error) => {
                 let server = &leader.backend.server.incarnation;
                 journal::trouble("position", &format!("{server}: {error}"));
--- a/crates/proxy/src/line/group/search.rs
+++ b/crates/proxy/src/line/group/search.rs
@@ -24,11 +24,11 @@
     /// Asks all servers which of them leads, at most every [`SEARCH_GAP`].
     pub async fn find_leader(self: &Rc<Self>) {
         self.search_ahead();
-        self.search.ended.notified().await;
+        self.search.finished.notified().await;
     }
 
     pub(super) fn search_ahead(self: &Rc<Self>) {
-        if !self.search.starts() {
+        if !self.search.try_start() {
             return;
         }
         let group = self.clone();
@@ -40,7 +40,7 @@
             group.searched.set(clock::now());
             group.adopt(&statuses);
             group.note_survey(asked, &statuses);
-            group.search.end();
+            group.search.finish();
         });
     }
 
@@ -77,7 +77,7 @@
     fn depose_deniers(&self, statuses: &[(Rc<Backend>, Status)]) {
         for (backend, status) in statuses {
             if status.role != Role::Primary {
-                self.depose(backend);
+                self.clear_leader(backend);
             }
         }
     }
--- a/crates/proxy/src/line/group/flight.rs
+++ b/crates/proxy/src/line/group/single_flight.rs
@@ -7,28 +7,28 @@
 /// Work that is done once for all who wait for it, in a task of its own: a statement that gives up
 /// waiting must not take the work down with it.
 #[derive(Default)]
-pub struct Flight {
+pub struct SingleFlight {
     running: Cell<bool>,
-    pub ended: Notify,
+    pub finished: Notify,
 }
 
-impl Flight {
+impl SingleFlight {
     /// Whether the caller is to start the work, as nobody has.
-    pub fn starts(&self) -> bool {
+    pub fn try_start(&self) -> bool {
         !self.running.replace(true)
     }
 
-    pub fn end(&self) {
+    pub fn finish(&self) {
         self.running.set(false);
-        self.ended.notify_waiters();
+        self.finished.notify_waiters();
     }
 }
 
 /// Ends a flight, also when whoever waits for it gives up.
-pub struct Landing<'a>(pub &'a Flight);
+pub struct Guard<'a>(pub &'a SingleFlight);
 
-impl Drop for Landing<'_> {
+impl Drop for Guard<'_> {
     fn drop(&mut self) {
-        self.0.end();
+        self.0.finish();
     }
 }
--- a/crates/proxy/src/line/isolation.rs
+++ b/crates/proxy/src/line/isolation.rs
@@ -10,7 +10,7 @@
 use crate::line::{
     backend::Backend,
     clock, journal,
-    reach::{self, Suspicion},
+    reachability::{self, FailureSignal},
     shared::Shared,
 };
 
@@ -29,9 +29,13 @@
 const PEERS_ASKED: usize = 4;
 
 /// Looks outside whenever there is a suspicion, and goes on until something is reached.
-pub async fn run(shared: Rc<Shared>, suspicion: Suspicion, publish: watch::Sender<Isolation>) {
+pub async fn run(
+    shared: Rc<Shared>,
+    failure_signal: FailureSignal,
+    publish: watch::Sender<Isolation>,
+) {
     loop {
-        suspicion.notified().await;
+        failure_signal.notified().await;
         loop {
             let reached = reaches_out(&shared).await;
             let was = *publish.borrow();
@@ -50,18 +54,18 @@
 
 /// Whether any proxy or server outside the own data centre accepts a connection; `true` if there is none.
 async fn reaches_out(shared: &Shared) -> bool {
-    let peers = shared.peers.outside(&shared.dc, PEERS_ASKED);
+    let peers = shared.peers.in_other_dcs(&shared.dc, PEERS_ASKED);
     if any_connects(&peers).await {
         return true;
     }
-    let servers = shared.servers_outside();
+    let servers = shared.servers_in_other_dcs();
     (peers.is_empty() && servers.is_empty()) || any_connects(&servers).await
 }
 
 async fn any_connects(outside: &[Rc<Backend>]) -> bool {
     let mut attempts: FuturesUnordered<_> = outside
         .iter()
-        .map(|backend| reach::connects(backend.server.address, REACH_TIMEOUT))
+        .map(|backend| reachability::can_connect(backend.server.address, REACH_TIMEOUT))
         .collect();
     while let Some(reached) = attempts.next().await {
         if reached {
--- a/crates/proxy/src/line/mirror.rs
+++ b/crates/proxy/src/line/mirror.rs
@@ -82,7 +82,7 @@
 
 impl Handle {
     /// Takes an update of `source` that is complete up to `known`; whether it followed what was there.
-    pub fn take(&self, source: &Source, update: &Update<Value>, known: Moment) -> bool {
+    pub fn apply(&self, source: &Source, update: &Update<Value>, known: Moment) -> bool {
         let mut content = self.lock();
         let before = content.mirror.revision();
         content.keep_earlier(update);
@@ -98,7 +98,7 @@
     }
 
     /// Notes that the source was lost, which those who wait for changes are told at once.
-    pub fn lost(&self) {
+    pub fn note_source_lost(&self) {
         if self.lock().source.take().is_some() {
             self.changed.send_replace(());
         }
@@ -132,7 +132,7 @@
     }
 
     /// Answers a question, as soon as there is something new; `None` if this process has nothing to go by.
-    pub async fn answer(&self, question: Request) -> Option<Response> {
+    pub async fn respond(&self, question: Request) -> Option<Response> {
         let asked = clock::now();
         let mut changed = self.changed.subscribe();
         loop {
@@ -185,7 +185,7 @@
     }
 
     /// The present value of a key.
-    pub fn present(&self, key: &str) -> Option<Version> {
+    pub fn current(&self, key: &str) -> Option<Version> {
         let content = self.lock();
         let (at, value) = content.mirror.get(key)?;
         Some((at, value.clone()))
--- a/crates/proxy/src/line/operator.rs
+++ b/crates/proxy/src/line/operator.rs
@@ -83,7 +83,7 @@
         id: context.id.clone(),
         dc: context.dc.clone(),
         version: view.version(),
-        members: view.members,
+        members: view.proxy_count,
         owns: owned(&view),
         servers: servers.collect(),
         changes: context.mirror.report(),
--- a/crates/proxy/src/line/peers.rs
+++ b/crates/proxy/src/line/peers.rs
@@ -72,7 +72,7 @@
     /// Load pattern: a cut takes half of all owners away at once. Guard: the first statement that meets it
     /// is enough, the others need not wait for each owner in turn. Of hundreds only some are checked,
     /// or a restart of all proxies would have each of them call on all others.
-    pub fn lose(&self, peer: &Rc<Backend>) {
+    pub fn note_failure(&self, peer: &Rc<Backend>) {
         peer.lose();
         let now = clock::now();
         if now.since(self.checked.get()) < CHECK_EVERY {
@@ -104,7 +104,7 @@
     ///
     /// Load pattern: after a restart of everything hundreds of proxies have many statements for one owner at
     /// once. Kept for good, their connections take the descriptors of the owner's VM.
-    pub fn tidy(&self) {
+    pub fn close_spare_connections(&self) {
         let known = self.known.borrow();
         known
             .values()
@@ -117,7 +117,7 @@
     }
 
     /// Some proxies of other data centres, others each time.
-    pub fn outside(&self, dc: &str, most: usize) -> Vec<Rc<Backend>> {
+    pub fn in_other_dcs(&self, dc: &str, most: usize) -> Vec<Rc<Backend>> {
         let known = self.known.borrow();
         let mut outside: Vec<_> = known.values().filter(|p| p.server.dc != dc).collect();
         let turn = self.turn.get();
@@ -130,7 +130,7 @@
 
     /// The proxies that a statement of the group goes to, best first; `None` if it is run here. Near ones
     /// take turns; those that failed a moment ago come last, those that are lost only if all are.
-    pub fn of(&self, name: &str) -> Option<Vec<Rc<Backend>>> {
+    pub fn forwarding_targets(&self, name: &str) -> Option<Vec<Rc<Backend>>> {
         let plans = self.plans.borrow();
         let Some(Plan::Forward { local, fallback }) = plans.get(name) else {
             return None;
--- a/crates/proxy/src/line/records.rs
+++ b/crates/proxy/src/line/records.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// A question about a group's record.
-pub struct Inquiry {
+pub struct Request {
     pub service: String,
     /// `None` if the store did not answer or has no record.
     pub answer: oneshot::Sender<Option<Snapshot>>,
@@ -21,51 +21,51 @@
 
 /// The end at which traffic asks.
 #[derive(Clone, Debug)]
-pub struct Records {
-    followed: Arc<AtomicU64>,
-    inquiries: mpsc::UnboundedSender<Inquiry>,
+pub struct Reader {
+    synced_until: Arc<AtomicU64>,
+    requests: mpsc::UnboundedSender<Request>,
 }
 
 /// The end at which the control thread answers.
-pub struct Desk {
-    pub followed: Arc<AtomicU64>,
-    pub inquiries: mpsc::UnboundedReceiver<Inquiry>,
+pub struct Responder {
+    pub synced_until: Arc<AtomicU64>,
+    pub requests: mpsc::UnboundedReceiver<Request>,
 }
 
 /// Both ends.
-pub fn channel() -> (Records, Desk) {
-    let followed = Arc::new(AtomicU64::new(0));
+pub fn channel() -> (Reader, Responder) {
+    let synced_until = Arc::new(AtomicU64::new(0));
     let (sender, receiver) = mpsc::unbounded_channel();
-    let records = Records {
-        followed: followed.clone(),
-        inquiries: sender,
+    let records = Reader {
+        synced_until: synced_until.clone(),
+        requests: sender,
     };
-    let desk = Desk {
-        followed,
-        inquiries: receiver,
+    let responder = Responder {
+        synced_until,
+        requests: receiver,
     };
-    (records, desk)
+    (records, responder)
 }
 
 /// Notes that up to `moment` no change of the store was missed.
-pub fn note_followed(followed: &AtomicU64, moment: Moment) {
+pub fn note_synced(synced_until: &AtomicU64, moment: Moment) {
     let millis = u64::try_from(moment.millis()).unwrap_or(u64::MAX);
-    followed.store(millis, Ordering::Relaxed);
+    synced_until.store(millis, Ordering::Relaxed);
 }
 
-impl Records {
+impl Reader {
     /// Whether the view is young enough for its lists of servers to hold.
     pub fn are_current(&self, now: Moment) -> bool {
-        let followed = Duration::from_millis(self.followed.load(Ordering::Relaxed));
-        now.since(Moment::from_boot(followed)) < LIST_VALIDITY
+        let synced_until = Duration::from_millis(self.synced_until.load(Ordering::Relaxed));
+        now.since(Moment::from_boot(synced_until)) < LIST_VALIDITY
     }
 
     /// Asks the store for a group's record.
-    pub async fn testimony(&self, service: &str) -> Option<Snapshot> {
+    pub async fn snapshot(&self, service: &str) -> Option<Snapshot> {
         let (answer, answered) = oneshot::channel();
         let service = service.to_owned();
         // Either end is gone only when the process ends; then there is nothing to say.
-        self.inquiries.send(Inquiry { service, answer }).ok()?;
+        self.requests.send(Request { service, answer }).ok()?;
         answered.await.ok()?
     }
 }
--- a/crates/proxy/src/line/life.rs
+++ b/crates/proxy/src/line/restart.rs
@@ -10,7 +10,7 @@
 use crate::line::clock;
 
 /// Takes the answer to a question sent at `asked`, if it may be of the life that is registered.
-pub fn admit(
+pub fn check_status(
     life: &Cell<Detector>,
     server: &Incarnation,
     status: Status,
--- a/crates/proxy/src/line/shared.rs
+++ b/crates/proxy/src/line/shared.rs
@@ -17,8 +17,8 @@
         group::{Group, Groups},
         mirror::Handle,
         peers::Peers,
-        reach::Suspicion,
-        records::Records,
+        reachability::FailureSignal,
+        records::Reader,
         stop::Stop,
         view::View,
     },
@@ -40,17 +40,17 @@
     pub metrics: Metrics,
     pub stop: Stop,
     pub isolated: watch::Receiver<Isolation>,
-    pub suspicion: Suspicion,
-    pub records: Records,
+    pub failure_signal: FailureSignal,
+    pub records: Reader,
     /// What the store holds, for other proxies.
     pub mirror: Handle,
     /// How many callers are connected.
-    pub open: Rc<Cell<usize>>,
+    pub open_count: Rc<Cell<usize>>,
 }
 
 impl Shared {
     /// The servers in other data centres.
-    pub fn servers_outside(&self) -> Vec<Rc<Backend>> {
+    pub fn servers_in_other_dcs(&self) -> Vec<Rc<Backend>> {
         let groups = self.groups.borrow();
         let servers = groups.values().flat_map(|group| group.servers());
         servers
@@ -59,12 +59,18 @@
     }
 
     fn new_group(&self, name: &str) -> Rc<Group> {
-        let (suspicion, records) = (self.suspicion.clone(), self.records.clone());
-        Group::new(name, &self.dc, suspicion, records, self.metrics.clone())
+        let (failure_signal, records) = (self.failure_signal.clone(), self.records.clone());
+        Group::new(
+            name,
+            &self.dc,
+            failure_signal,
+            records,
+            self.metrics.clone(),
+        )
     }
 
     /// Returns when callers at rest are better served elsewhere.
-    pub async fn released(&self) {
+    pub async fn wait_for_isolation_close(&self) {
         let mut isolated = self.isolated.clone();
         loop {
             if isolated
@@ -81,7 +87,7 @@
     }
 
     /// Brings the groups up to each new view, until the control thread is gone.
-    pub async fn follow(self: Rc<Self>, mut view: watch::Receiver<Arc<View>>) {
+    pub async fn apply_views(self: Rc<Self>, mut view: watch::Receiver<Arc<View>>) {
         let mut tidy = tokio::time::interval(TIDY_EVERY);
         loop {
             tokio::select! {
@@ -93,8 +99,8 @@
                     Err(_) => return,
                 },
                 _ = tidy.tick() => {
-                    self.groups.borrow().values().for_each(|group| group.close_unowned());
-                    self.peers.tidy();
+                    self.groups.borrow().values().for_each(|group| group.close_idle_if_not_owned());
+                    self.peers.close_spare_connections();
                 }
             }
         }
@@ -112,7 +118,7 @@
             let service = catalog.and_then(|catalog| catalog.services.get(name));
             let ownership = view.ownership.get(name);
             if let (Some(service), Some(ownership)) = (service, ownership) {
-                let counted = view.counted.get(name).map(Vec::as_slice);
+                let counted = view.voters.get(name).map(Vec::as_slice);
                 group.set_owned(self.peers.owns(name), settled);
                 group.update(entries, service, ownership.allocation, counted);
             }
--- a/crates/proxy/src/line/stop.rs
+++ b/crates/proxy/src/line/stop.rs
@@ -57,7 +57,7 @@
     }
 
     /// Waits for SIGTERM and then until no new callers are sent here.
-    pub async fn listener_closes(self) -> Result<(), Error> {
+    pub async fn wait_for_listener_close(self) -> Result<(), Error> {
         let terminate = unix::SignalKind::terminate();
         let mut signal = unix::signal(terminate).map_err(Error::Listen)?;
         tokio::select! {
@@ -75,7 +75,7 @@
     }
 
     /// Returns when a session between two statements is to end.
-    pub async fn sessions_end(&self, idle: bool) {
+    pub async fn wait_for_session_end(&self, idle: bool) {
         match idle {
             true => self.resting.cancelled().await,
             false => self.transactions.cancelled().await,
@@ -83,7 +83,7 @@
     }
 
     /// Waits for the open sessions to end, within what the grace period leaves.
-    pub async fn drained(&self, open: Rc<Cell<usize>>) {
+    pub async fn drain(&self, open: Rc<Cell<usize>>) {
         let begun = Instant::now() - NOTICE.min(self.grace / 2);
         let half = begun + self.grace / 2;
         let end = begun + self.grace.saturating_sub(RESERVE);
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -46,7 +46,7 @@
     lend(backend, session, call).await.map_err(|miss| {
         if miss == Miss::Unreachable {
             backend.unreachable();
-            group.depose(backend);
+            group.clear_leader(backend);
         }
         missed(call, miss)
     })?
@@ -61,7 +61,7 @@
 ) -> Result<Checkout, Failure> {
     lend(peer, session, call).await.map_err(|miss| {
         match miss {
-            Miss::Unreachable => peers.lose(peer),
+            Miss::Unreachable => peers.note_failure(peer),
             Miss::Full | Miss::Refused { .. } => peer.avoid(),
         }
         missed(call, miss)
--- a/crates/proxy/src/line/traffic/feed.rs
+++ b/crates/proxy/src/line/traffic/feed.rs
@@ -36,7 +36,7 @@
 
 /// Appends the rows of an answer; `false` if there is none.
 async fn tell(mirror: &Handle, question: Request, out: &mut Vec<u8>) -> Result<bool, Error> {
-    let Some(answer) = mirror.answer(question).await else {
+    let Some(answer) = mirror.respond(question).await else {
         return Ok(false);
     };
     answer.write(out, |key| mirror.delta(key, question.after))?;
--- a/crates/proxy/src/line/traffic/handover.rs
+++ b/crates/proxy/src/line/traffic/handover.rs
@@ -60,7 +60,7 @@
                 // It may be cut off with this data centre, and this proxy cannot tell by itself: it
                 // speaks to no server. Callers would go on coming here for as long as the cut lasts.
                 if refusal.code.guarantees_not_run() {
-                    shared.suspicion.notify_one();
+                    shared.failure_signal.notify_one();
                 }
                 if !forwarding::may_retry(refusal.code, offers, call.waited(), call.route.target) {
                     return Handed::Answered(Err(refusal));
@@ -86,7 +86,7 @@
     let (answer, checkout) = exchange(checkout, peer, call, Condition::Forwarded(&terms)).await;
     let answer = answer.map_err(|why| {
         note_refused(&shared.metrics, peer, call, &why);
-        shared.peers.lose(peer);
+        shared.peers.note_failure(peer);
         Failure::Lost(why)
     })?;
     settle(checkout, &answer);
@@ -149,7 +149,7 @@
         (answer, _) => {
             let why = answer.err().unwrap_or_default();
             note_refused(&shared.metrics, &backend, call, &why);
-            shared.peers.lose(&backend);
+            shared.peers.note_failure(&backend);
             fail(session, call);
             return Err(lost(call.effect, wrote, &why));
         }
@@ -177,7 +177,7 @@
         Err(refusal) => {
             note_refused(&shared.metrics, &held.backend, call, &refusal.to_string());
             if refusal.code.guarantees_not_run() {
-                shared.suspicion.notify_one();
+                shared.failure_signal.notify_one();
             }
             match answer.state {
                 State::Idle => held.checkout.release(),
@@ -226,7 +226,7 @@
             Err(_) => "no answer in time".to_owned(),
         };
         note_refused(&shared.metrics, peer, call, &why);
-        shared.peers.lose(peer);
+        shared.peers.note_failure(peer);
     }
     None
 }
--- a/crates/proxy/src/line/traffic/run.rs
+++ b/crates/proxy/src/line/traffic/run.rs
@@ -47,14 +47,15 @@
         let (servers, after) = match call.route.consistency {
             Consistency::Latest => {
                 let leader = confirmed_leader(group, call).await?;
-                (leader, group.reached())
+                (leader, group.newest_position())
             }
             Consistency::Bounded(_) | Consistency::Session(_) => {
                 let own = session.floor();
-                let Some(floor) = group.floor(call.since(call.arrived), own).await else {
+                let Some(floor) = group.required_position(call.since(call.arrived), own).await
+                else {
                     return Err(call.busy("nothing proves what a read must see", COME_BACK));
                 };
-                (group.order(clock::now()), Some(floor))
+                (group.read_candidates(clock::now()), Some(floor))
             }
         };
         for backend in servers {
@@ -144,7 +145,7 @@
             Some(leader) => leader,
             None => return Err(call.busy("no primary is known", COME_BACK)),
         };
-        if group.confirm(call.arrived).await && group.led_by(&leader.backend) {
+        if group.confirm_leader(call.arrived).await && group.is_leader(&leader.backend) {
             return Ok(vec![leader.backend]);
         }
         // It may be held for a promotion, which ends within the time left.
@@ -199,7 +200,7 @@
         return Err(Failure::NotRun(call.busy(why, OFFER_AGAIN)));
     }
     if answer.result.is_ok() {
-        group.metrics.read(match group.led_by(backend) {
+        group.metrics.read(match group.is_leader(backend) {
             true => Target::Primary,
             false => Target::Replica,
         });
@@ -211,7 +212,7 @@
                 // A primary that lacks its own log has started again.
                 let lost_log = latest && refusal.code == Code::Lagging;
                 if lost_log || refusal.code == Code::ReadOnly {
-                    group.depose(backend);
+                    group.clear_leader(backend);
                 }
                 Failure::NotRun(refusal)
             }
@@ -230,7 +231,7 @@
     match tokio::time::timeout(OVERDUE.max(backend.latency() * 4), &mut sent).await {
         Ok(answer) => answer,
         Err(_) => {
-            group.doubt(backend);
+            group.note_slow_write(backend);
             sent.await
         }
     }
@@ -244,10 +245,10 @@
     call: &Call<'_>,
 ) -> Result<Success, Refusal> {
     // Cut off, the primary may be on this side and its replicas on the other: it would never answer.
-    if (call.isolated || group.doubted()) && !group.confirm(call.arrived).await {
+    if (call.isolated || group.is_leader_suspect()) && !group.confirm_leader(call.arrived).await {
         return Err(call.unconfirmed());
     }
-    if !group.can_confirm() {
+    if !group.can_confirm_commits() {
         return Err(call.unconfirmed());
     }
     let mut last = call.busy("no primary is known", COME_BACK);
@@ -274,7 +275,7 @@
             Err(why) => {
                 note_failure(group, backend, call, &why);
                 if backend.avoided(clock::now()) {
-                    group.depose(backend);
+                    group.clear_leader(backend);
                 }
                 let why = format!("outcome unknown: {why}");
                 return Err(Refusal::new(Code::Unknown, why));
@@ -285,9 +286,12 @@
         backend.took(clock::now().since(asked));
         match answer.result {
             Ok(success) => {
-                group.trust(backend);
+                group.note_write_answered(backend);
                 let (term, left) = (leader.term, call.left());
-                if !group.is_kept(backend, term, answer.position, left).await {
+                if !group
+                    .wait_until_durable(backend, term, answer.position, left)
+                    .await
+                {
                     return Err(call.not_kept(group, backend));
                 }
                 session.committed(answer.position);
@@ -296,7 +300,7 @@
             Err(refusal) if refusal.code.guarantees_not_run() => {
                 note_failure(group, backend, call, &refusal.to_string());
                 if refusal.code == Code::ReadOnly {
-                    group.depose(backend);
+                    group.clear_leader(backend);
                 }
                 last = refusal;
                 tokio::time::sleep(OFFER_AGAIN).await;
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -56,8 +56,8 @@
         }
         // A connection of another proxy rests most of the time; only its statements are waited for.
         let counted = usize::from(origin == Origin::Caller);
-        shared.open.set(shared.open.get() + counted);
-        let open = shared.open.clone();
+        shared.open_count.set(shared.open_count.get() + counted);
+        let open = shared.open_count.clone();
         let (reader, writer) = stream.into_split();
         let session = Session {
             origin,
@@ -188,8 +188,8 @@
                 Some(line) => Next::Line(line, clock::now()),
                 None => Next::Gone,
             },
-            () = stop.sessions_end(idle), if ends_at_rest || !idle => Next::Retire,
-            () = shared.released(), if idle && ends_at_rest => Next::Retire,
+            () = stop.wait_for_session_end(idle), if ends_at_rest || !idle => Next::Retire,
+            () = shared.wait_for_isolation_close(), if idle && ends_at_rest => Next::Retire,
             () = tokio::time::sleep(rest), if self.pinned.is_some() => Next::Rested,
         }
     }
@@ -260,7 +260,7 @@
                 text,
                 statement,
             } => {
-                let under_way = UnderWay::new(&self.shared.open, self.origin);
+                let under_way = UnderWay::new(&self.shared.open_count, self.origin);
                 let result = self.statement(id, text, &statement, terms, arrived).await;
                 drop(under_way);
                 self.answer(id, arrived, result);
@@ -332,7 +332,7 @@
     fn peers(&self, route: &Route) -> Option<Vec<Rc<Backend>>> {
         match (&self.pinned, self.origin) {
             (Some(pinned), _) if pinned.holder == Holder::Peer => Some(Vec::new()),
-            (None, Origin::Caller) => self.shared.peers.of(&route.service),
+            (None, Origin::Caller) => self.shared.peers.forwarding_targets(&route.service),
             _ => None,
         }
     }
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -97,7 +97,7 @@
     for send in 1.. {
         let commits = call.effect == Effect::Commit && wrote;
         let term = held.term();
-        if commits && (term.is_none() || !group.can_confirm()) {
+        if commits && (term.is_none() || !group.can_confirm_commits()) {
             held.roll_back();
             fail(session, call);
             let why = "rolled back: no replica could confirm the commit";
@@ -141,9 +141,12 @@
                             held.checkout.release();
                         }
                         if wrote {
-                            group.trust(&backend);
+                            group.note_write_answered(&backend);
                             let (term, left) = (term.unwrap_or_default(), call.left());
-                            if !group.is_kept(&backend, term, answer.position, left).await {
+                            if !group
+                                .wait_until_durable(&backend, term, answer.position, left)
+                                .await
+                            {
                                 return Err(call.not_kept(group, &backend));
                             }
                             session.committed(answer.position);
@@ -162,7 +165,7 @@
             continue;
         }
         if refusal.code == Code::ReadOnly {
-            group.depose(&held.backend);
+            group.clear_leader(&held.backend);
         }
         held.roll_back();
         fail(session, call);
@@ -209,16 +212,16 @@
 ) -> Result<Pinned, Refusal> {
     let mut last = call.busy("no server can take the transaction", SEND_AGAIN);
     let mut obstacle = Obstacle::NoServer;
-    let doubtful = call.isolated || group.doubted();
-    if doubtful && !transaction.read_only && !group.confirm(transaction.started_at).await {
+    let doubtful = call.isolated || group.is_leader_suspect();
+    if doubtful && !transaction.read_only && !group.confirm_leader(transaction.started_at).await {
         return Err(call.unconfirmed());
     }
     loop {
         let after = match call.route.consistency {
-            Consistency::Latest => group.reached(),
+            Consistency::Latest => group.newest_position(),
             Consistency::Bounded(_) | Consistency::Session(_) => {
                 let since = call.since(transaction.started_at);
-                match group.floor(since, session.floor()).await {
+                match group.required_position(since, session.floor()).await {
                     Some(floor) => Some(floor),
                     None => return Err(call.busy("nothing proves what it must see", SEND_AGAIN)),
                 }
@@ -227,7 +230,7 @@
         let latest = call.route.consistency == Consistency::Latest;
         let servers = match (latest, transaction.read_only) {
             (true, _) => run::confirmed_leader(group, call).await?,
-            (false, true) => group.order(clock::now()),
+            (false, true) => group.read_candidates(clock::now()),
             (false, false) => match run::wait_for_leader(group, call).await {
                 Some(leader) => vec![leader.backend],
                 None => return Err(call.busy("no primary is known", SEND_AGAIN)),
@@ -267,7 +270,7 @@
                             last = call.busy("its server does not lead any more", SEND_AGAIN);
                         }
                         Ok(_) if answer.state == State::Open => {
-                            let term = group.term_of(&backend);
+                            let term = group.leader_term(&backend);
                             let holder = Holder::Own { term };
                             return Ok(Pinned {
                                 checkout,
@@ -280,7 +283,7 @@
                             note_failure(group, &backend, call, &refusal.to_string());
                             let lost_log = latest && refusal.code == Code::Lagging;
                             if lost_log || refusal.code == Code::ReadOnly {
-                                group.depose(&backend);
+                                group.clear_leader(&backend);
                             }
                             if answer.state == State::Idle {
                                 checkout.release();
--- a/crates/proxy/src/line/view.rs
+++ b/crates/proxy/src/line/view.rs
@@ -18,9 +18,9 @@
     pub servers: Map<String, Vec<Entry>>,
     /// The servers of each group that count for a promotion, where a holder of the failover duty has
     /// written them down.
-    pub counted: Map<String, Vec<Incarnation>>,
+    pub voters: Map<String, Vec<Incarnation>>,
     /// How many proxies share the servers, this one and those that have just gone included.
-    pub members: usize,
+    pub proxy_count: usize,
     /// The proxies that statements can be handed to.
     pub peers: Vec<Peer>,
     /// Who holds connections to the servers of each group.
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -122,13 +122,17 @@
 
     let (before, during, after) = local
         .run_until(async {
-            let before = peers.of(GROUP);
-            peers.lose(&before.as_ref().expect("owners")[0]);
+            let before = peers.forwarding_targets(GROUP);
+            peers.note_failure(&before.as_ref().expect("owners")[0]);
             tokio::time::sleep(DETECTION_TIME).await;
-            let during = peers.of(GROUP);
+            let during = peers.forwarding_targets(GROUP);
             near.heal();
             tokio::time::sleep(DETECTION_TIME).await;
-            (ids(before), ids(during), ids(peers.of(GROUP)))
+            (
+                ids(before),
+                ids(during),
+                ids(peers.forwarding_targets(GROUP)),
+            )
         })
         .await;
 
@@ -149,8 +153,8 @@
 
     local
         .run_until(async {
-            let owners = peers.of(GROUP).expect("owners");
-            peers.lose(&owners[0]);
+            let owners = peers.forwarding_targets(GROUP).expect("owners");
+            peers.note_failure(&owners[0]);
             tokio::time::sleep(DETECTION_TIME).await;
         })
         .await;
@@ -186,10 +190,10 @@
 
     let during = local
         .run_until(async {
-            let owners = peers.of(GROUP).expect("owners");
-            peers.lose(&owners[0]);
+            let owners = peers.forwarding_targets(GROUP).expect("owners");
+            peers.note_failure(&owners[0]);
             tokio::time::sleep(DETECTION_TIME).await;
-            ids(peers.of(GROUP))
+            ids(peers.forwarding_targets(GROUP))
         })
         .await;
 
@@ -222,7 +226,7 @@
 
     let (during_burst, later) = local
         .run_until(async {
-            let owner = peers.of(GROUP).expect("owners").remove(0);
+            let owner = peers.forwarding_targets(GROUP).expect("owners").remove(0);
             let mut lent = Vec::new();
             for _ in 0..10 {
                 lent.push(checkout(&owner).await);
@@ -230,10 +234,10 @@
             let during_burst = owner.pool.open_now();
             lent.into_iter().for_each(Checkout::release);
             for _ in 0..2 {
-                peers.tidy();
+                peers.close_spare_connections();
                 checkout(&owner).await.release();
             }
-            peers.tidy();
+            peers.close_spare_connections();
             (during_burst, owner.pool.open_now())
         })
         .await;
@@ -252,7 +256,7 @@
 
     let open = local
         .run_until(async {
-            let owner = peers.of(GROUP).expect("owners").remove(0);
+            let owner = peers.forwarding_targets(GROUP).expect("owners").remove(0);
             let checkouts = (0..100).map(|_| tokio::time::timeout(BURST_TIMEOUT, checkout(&owner)));
             let lent = futures::future::join_all(checkouts).await;
             assert!(lent.iter().any(Result::is_err));
@@ -296,7 +300,7 @@
 
     let open = local
         .run_until(async {
-            let owner = peers.of(GROUP).expect("owners").remove(0);
+            let owner = peers.forwarding_targets(GROUP).expect("owners").remove(0);
             let lent = checkout(&owner).await;
             let open = owner.pool.open_now();
             lent.release();
