--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line.rs
@@ -1,9 +1,9 @@
-//! The proxy on a platform whose callers and backend servers speak the line protocol: one thread
-//! for control state, one for traffic (`docs/PLATFORM.md`).
+//! The proxy for callers and backend servers that speak the line protocol (`docs/PLATFORM.md`). It
+//! has one thread for control state and one for traffic.
 //!
-//! A statement's way is told in [`traffic`]; [`group`] knows what its server must hold, and
-//! [`backend::pool`] lends the connection. What the process knows of the rest of the site is kept in
-//! [`control`] and published as a [`view`].
+//! [`traffic`] handles callers' sessions and runs their statements, [`group`] decides which servers
+//! may run a statement, and [`backend::pool`] manages the connections to them. [`control`] tracks
+//! the configuration, the servers and the other proxies, and publishes them as a [`view`].
 
 pub mod backend;
 pub mod clock;
@@ -39,7 +39,7 @@
     metrics::Metrics,
 };
 
-/// Runs the proxy until a planned stop.
+/// Runs the proxy until it has shut down gracefully.
 pub fn run(config: Config, line: Line) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -103,8 +103,8 @@
         mirror,
         open_count: Rc::default(),
     });
-    let looking = isolation::run(shared.clone(), failure_signal, isolation);
-    tokio::task::spawn_local(looking);
+    let isolation_check = isolation::run(shared.clone(), failure_signal, isolation);
+    tokio::task::spawn_local(isolation_check);
     tokio::task::spawn_local(shared.clone().apply_views(view));
     tokio::task::spawn_local(stop::watch_settings(config.clone()));
     if let Some(listener) = peers {
@@ -118,29 +118,29 @@
     Ok(())
 }
 
-/// Accepts callers until the process is to stop and the balancer has stopped sending new ones.
+/// Accepts callers until the process is shutting down and the load balancer no longer sends new ones.
 async fn accept(
     listener: &TcpListener,
     shared: &Rc<Shared>,
     stop: &stop::Stop,
 ) -> Result<(), Error> {
-    let mut ended = std::pin::pin!(stop.clone().wait_for_listener_close());
+    let mut closed = std::pin::pin!(stop.clone().wait_for_listener_close());
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => session::spawn(stream, shared.clone(), Origin::Caller),
                 Err(error) => {
-                    // Out of descriptors, or a caller gone before it was accepted.
+                    // No file descriptor left, or the caller disconnected before it was accepted.
                     journal::trouble("accept", &error.to_string());
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
-            ended = &mut ended => return ended,
+            closed = &mut closed => return closed,
         }
     }
 }
 
-/// Where other proxies connect, if the settings say so.
+/// Binds the listener for other proxies, if one is configured.
 async fn listen_for_peers(line: &Line) -> Result<Option<TcpListener>, Error> {
     match line.peer {
         Some(address) => {
@@ -151,18 +151,19 @@
     }
 }
 
-/// Accepts other proxies until the process ends: in a planned stop they go on until they know of it.
+/// Accepts other proxies until the process exits: they keep forwarding statements to this one until
+/// they learn that it is shutting down.
 async fn accept_peers(listener: TcpListener, shared: Rc<Shared>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => session::spawn(stream, shared.clone(), Origin::Peer),
             Err(error) => {
                 journal::trouble("accept", &error.to_string());
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// The pause after a failed accept: without it, a lack of descriptors makes the loop spin.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
+/// The delay after a failed accept, so that a lack of file descriptors does not cause a busy loop.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(10);
--- a/crates/proxy/src/line/clock.rs
+++ b/crates/proxy/src/line/clock.rs
@@ -1,11 +1,11 @@
-//! The clock that decisions are made by.
+//! The clock that all timing decisions use.
 
 use std::time::Duration;
 
 use dandelionpitch_engine::time::Moment;
 use nix::time::{clock_gettime, ClockId};
 
-/// The present moment, counting time during which the VM was suspended.
+/// The time since boot, including time during which the VM was suspended.
 pub fn now() -> Moment {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has a boot-time clock");
     let seconds = u64::try_from(time.tv_sec()).unwrap_or_default();
--- a/crates/proxy/src/line/records.rs
+++ b/crates/proxy/src/line/records.rs
@@ -1,5 +1,5 @@
-//! What traffic learns of the groups' records in the store beside the published view: how old the view
-//! may be, and what the store says of a group's last promotion at this moment.
+//! The traffic thread's access to the groups' records in the store, in addition to the published
+//! view: how current the view is, and a record read from the store on request.
 
 use std::{
     sync::{
@@ -12,60 +12,61 @@
 use dandelionpitch_engine::{commit::Snapshot, roster::LIST_VALIDITY, time::Moment};
 use tokio::sync::{mpsc, oneshot};
 
-/// A question about a group's record.
+/// A request for a group's record.
 pub struct Request {
     pub service: String,
     /// `None` if the store did not answer or has no record.
     pub answer: oneshot::Sender<Option<Snapshot>>,
 }
 
-/// The end at which traffic asks.
+/// The traffic thread's end of the channel.
 #[derive(Clone, Debug)]
 pub struct Reader {
     synced_until: Arc<AtomicU64>,
     requests: mpsc::UnboundedSender<Request>,
 }
 
-/// The end at which the control thread answers.
+/// The control thread's end of the channel.
 pub struct Responder {
     pub synced_until: Arc<AtomicU64>,
     pub requests: mpsc::UnboundedReceiver<Request>,
 }
 
-/// Both ends.
+/// Creates both ends.
 pub fn channel() -> (Reader, Responder) {
     let synced_until = Arc::new(AtomicU64::new(0));
-    let (sender, receiver) = mpsc::unbounded_channel();
-    let records = Reader {
+    let (tx, rx) = mpsc::unbounded_channel();
+    let reader = Reader {
         synced_until: synced_until.clone(),
-        requests: sender,
+        requests: tx,
     };
     let responder = Responder {
         synced_until,
-        requests: receiver,
+        requests: rx,
     };
-    (records, responder)
+    (reader, responder)
 }
 
-/// Notes that up to `moment` no change of the store was missed.
+/// Records that every change of the store up to `moment` has been applied.
 pub fn note_synced(synced_until: &AtomicU64, moment: Moment) {
     let millis = u64::try_from(moment.millis()).unwrap_or(u64::MAX);
     synced_until.store(millis, Ordering::Relaxed);
 }
 
 impl Reader {
-    /// Whether the view is young enough for its lists of servers to hold.
+    /// Whether the lists of servers that count for promotions are still valid in the view: the view
+    /// is at most [`LIST_VALIDITY`] behind the store.
     pub fn are_current(&self, now: Moment) -> bool {
         let synced_until = Duration::from_millis(self.synced_until.load(Ordering::Relaxed));
         now.since(Moment::from_boot(synced_until)) < LIST_VALIDITY
     }
 
-    /// Asks the store for a group's record.
+    /// Reads a group's record from the store; `None` if the store does not answer or has no record.
     pub async fn snapshot(&self, service: &str) -> Option<Snapshot> {
-        let (answer, answered) = oneshot::channel();
+        let (answer, response) = oneshot::channel();
         let service = service.to_owned();
-        // Either end is gone only when the process ends; then there is nothing to say.
+        // The other end is closed only when the process exits.
         self.requests.send(Request { service, answer }).ok()?;
-        answered.await.ok()?
+        response.await.ok()?
     }
 }
--- a/crates/proxy/src/line/restart.rs
+++ b/crates/proxy/src/line/restart.rs
@@ -1,4 +1,4 @@
-//! Tells the lives of a server apart, for all who ask it how it stands.
+//! Rejects statuses that come from another incarnation of a server than the registered one.
 
 use std::cell::Cell;
 
@@ -9,17 +9,21 @@
 
 use crate::line::clock;
 
-/// Takes the answer to a question sent at `asked`, if it may be of the life that is registered.
+/// Returns `status`, which was requested at `asked` and has just arrived, if it may come from the
+/// registered incarnation of `server`.
+///
+/// # Errors
+/// The status shows that the server has restarted and lost its log.
 pub fn check_status(
-    life: &Cell<Detector>,
+    detector: &Cell<Detector>,
     server: &Incarnation,
     status: Status,
     asked: Moment,
 ) -> Result<Status, Error> {
-    let mut known = life.get();
-    let same = known.accepts(&status, asked, clock::now());
-    life.set(known);
-    match same {
+    let mut updated = detector.get();
+    let accepted = updated.accepts(&status, asked, clock::now());
+    detector.set(updated);
+    match accepted {
         true => Ok(status),
         false => Err(Error::restarted(server)),
     }
--- a/crates/proxy/src/line/stop.rs
+++ b/crates/proxy/src/line/stop.rs
@@ -1,8 +1,8 @@
-//! A planned stop, and changes of the settings file while the process runs.
+//! Graceful shutdown, and checks of the settings file while the process runs.
 //!
-//! On SIGTERM the process reports not ready at once but goes on accepting callers until the
-//! balancer has certainly noticed; then resting sessions are closed, open transactions get half of
-//! the grace period and statements under way the rest but its last part.
+//! On SIGTERM the process reports not ready, but accepts callers until the load balancer has
+//! noticed. Then it closes idle sessions. Open transactions may continue until half of the grace
+//! period has passed, and statements in flight until shortly before its end.
 
 use std::{
     cell::Cell,
@@ -15,48 +15,52 @@
 
 use crate::{config::Config, error::Error, line::journal};
 
-/// How long the balancer needs to stop sending new callers: it asks once a second and believes the
-/// second miss.
-const NOTICE: Duration = Duration::from_millis(2_300);
+/// How long the load balancer takes to stop sending new callers: it checks readiness once a second
+/// and removes a proxy after the second failed check.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_300);
 
-/// Kept back at the end of the grace period: after it the process is killed.
-const RESERVE: Duration = Duration::from_millis(700);
+/// How long before the end of the grace period, when it would be killed, the process exits.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// How often the stopping process looks whether all sessions have ended.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// How often a stopping process checks whether all sessions have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often the settings file is compared with what the process runs by.
-const SETTINGS_EVERY: Duration = Duration::from_secs(2);
+/// How often the settings file is checked for changes.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The phases of a planned stop, shared by all who wait for them.
+/// The phases of a graceful shutdown.
 #[derive(Clone, Debug)]
 pub struct Stop {
     grace: Duration,
-    /// SIGTERM has come: not ready any more.
-    begun: CancellationToken,
-    /// Resting sessions are to end.
-    resting: CancellationToken,
-    /// Open transactions are to end.
-    transactions: CancellationToken,
+    /// Cancelled on SIGTERM, from when on the process reports not ready.
+    started: CancellationToken,
+    /// Cancelled when idle sessions are to end.
+    idle_end: CancellationToken,
+    /// Cancelled when sessions with open transactions are to end.
+    transactions_end: CancellationToken,
 }
 
 impl Stop {
-    /// A stop that has not begun, of a process that is killed `grace` after it does.
+    /// A shutdown that has not started, of a process that is killed `grace` after SIGTERM.
     pub fn new(grace: Duration) -> Self {
         Self {
             grace,
-            begun: CancellationToken::new(),
-            resting: CancellationToken::new(),
-            transactions: CancellationToken::new(),
+            started: CancellationToken::new(),
+            idle_end: CancellationToken::new(),
+            transactions_end: CancellationToken::new(),
         }
     }
 
-    /// Cancelled when the stop begins.
+    /// The token that is cancelled when the shutdown starts.
     pub fn token(&self) -> CancellationToken {
-        self.begun.clone()
+        self.started.clone()
     }
 
-    /// Waits for SIGTERM and then until no new callers are sent here.
+    /// Waits for SIGTERM or Ctrl-C, then until the load balancer no longer sends new callers, and lets
+    /// idle sessions end.
+    ///
+    /// # Errors
+    /// The handler for SIGTERM cannot be installed.
     pub async fn wait_for_listener_close(self) -> Result<(), Error> {
         let terminate = unix::SignalKind::terminate();
         let mut signal = unix::signal(terminate).map_err(Error::Listen)?;
@@ -68,40 +72,42 @@
             "stopping",
             serde_json::json!({ "grace_ms": self.grace.as_millis() as u64 }),
         );
-        self.begun.cancel();
-        tokio::time::sleep(NOTICE.min(self.grace / 2)).await;
-        self.resting.cancel();
+        self.started.cancel();
+        tokio::time::sleep(BALANCER_DELAY.min(self.grace / 2)).await;
+        self.idle_end.cancel();
         Ok(())
     }
 
-    /// Returns when a session between two statements is to end.
+    /// Returns when a session between two statements is to end; `idle` means that it has no open
+    /// transaction.
     pub async fn wait_for_session_end(&self, idle: bool) {
         match idle {
-            true => self.resting.cancelled().await,
-            false => self.transactions.cancelled().await,
+            true => self.idle_end.cancelled().await,
+            false => self.transactions_end.cancelled().await,
         }
     }
 
-    /// Waits for the open sessions to end, within what the grace period leaves.
-    pub async fn drain(&self, open: Rc<Cell<usize>>) {
-        let begun = Instant::now() - NOTICE.min(self.grace / 2);
-        let half = begun + self.grace / 2;
-        let end = begun + self.grace.saturating_sub(RESERVE);
-        while open.get() > 0 && Instant::now() < end {
+    /// Waits until `open_count` is 0 or shortly before the grace period ends. Called when idle sessions
+    /// have been told to end.
+    pub async fn drain(&self, open_count: Rc<Cell<usize>>) {
+        let started = Instant::now() - BALANCER_DELAY.min(self.grace / 2);
+        let half = started + self.grace / 2;
+        let end = started + self.grace.saturating_sub(KILL_MARGIN);
+        while open_count.get() > 0 && Instant::now() < end {
             if Instant::now() >= half {
-                self.transactions.cancel();
+                self.transactions_end.cancel();
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
         journal::write(
             "drained",
-            serde_json::json!({ "sessions_left": open.get() }),
+            serde_json::json!({ "sessions_left": open_count.get() }),
         );
     }
 }
 
-/// Reads the settings again on SIGHUP, and when the file has changed without a signal. What cannot
-/// be changed while the process runs is said in the log and holds from the next start.
+/// Reads the settings file on SIGHUP and whenever it has changed, and logs whether the changes apply
+/// without a restart.
 pub async fn watch_settings(config: Config) {
     let Ok(mut hangup) = unix::signal(unix::SignalKind::hangup()) else {
         journal::trouble("settings", "SIGHUP cannot be caught");
@@ -109,24 +115,24 @@
     };
     let mut current = config;
     loop {
-        let asked = tokio::select! {
+        let requested = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(SETTINGS_EVERY) => false,
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
         let Some(path) = current.path.clone() else {
             continue;
         };
         match Config::load(Some(&path)) {
             Ok(new) if new == current => {
-                if asked {
+                if requested {
                     journal::write("reload", serde_json::json!({ "changed": false }));
                 }
             }
             Ok(new) => {
-                let same = new.needs_no_restart(&current);
+                let applied = new.needs_no_restart(&current);
                 journal::write(
                     "reload",
-                    serde_json::json!({ "changed": true, "in_force": same }),
+                    serde_json::json!({ "changed": true, "in_force": applied }),
                 );
                 current = new;
             }
--- a/crates/proxy/src/line/view.rs
+++ b/crates/proxy/src/line/view.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes to traffic.
+//! The state that the control thread publishes to the traffic thread.
 
 use std::sync::Arc;
 
@@ -9,25 +9,26 @@
     registry::{Entry, Incarnation},
 };
 
-/// The configuration in force, the backend servers, and how many proxies share them.
+/// The configuration in force, the backend servers, and the proxies that share them.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// `None` until the first one was read from the store.
+    /// `None` until a configuration has been read from the store.
     pub catalog: Option<Arc<Catalog>>,
     /// The servers of each group.
     pub servers: Map<String, Vec<Entry>>,
-    /// The servers of each group that count for a promotion, where a holder of the failover duty has
-    /// written them down.
+    /// The servers of each group that count for promotions, for the groups for which a failover
+    /// leader has recorded them.
     pub voters: Map<String, Vec<Incarnation>>,
-    /// How many proxies share the servers, this one and those that have just gone included.
+    /// How many proxies share the servers, including this one and those that disappeared a moment ago.
     pub proxy_count: usize,
-    /// The proxies that statements can be handed to.
+    /// The live proxies, to which statements can be forwarded.
     pub peers: Vec<Peer>,
-    /// Who holds connections to the servers of each group.
+    /// Which proxies open connections to the servers of each group.
     pub ownership: Map<String, Ownership>,
 }
 
-/// Who holds connections to the servers of a group, and what that means for this proxy.
+/// Which proxies open connections to the servers of a group, and whether this proxy runs or forwards
+/// its statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ownership {
     pub allocation: Allocation,
@@ -35,7 +36,7 @@
 }
 
 impl View {
-    /// The version of the configuration in force; 0 is none.
+    /// The version of the configuration in force, or 0 if there is none.
     pub fn version(&self) -> u64 {
         self.catalog.as_ref().map_or(0, |catalog| catalog.version)
     }
