--- a/crates/proxy/src/line/group/single_flight.rs
+++ b/crates/proxy/src/line/group/single_flight.rs
@@ -1,30 +1,35 @@
-//! Work that many statements wait for and that is done once.
+//! Runs work once for all statements that wait for it.
 
 use std::cell::Cell;
 
 use tokio::sync::Notify;
 
-/// Work that is done once for all who wait for it, in a task of its own: a statement that gives up
-/// waiting must not take the work down with it.
+/// Deduplicates work that several statements need at the same time: one of them starts it, and all
+/// wait until it has finished.
+///
+/// The work runs in a task of its own, so that it continues if the statement that started it is
+/// cancelled, or under a [`Guard`], so that the cancellation does not leave it marked as running.
 #[derive(Default)]
 pub struct SingleFlight {
     running: Cell<bool>,
+    /// Notifies all waiters when the work has finished.
     pub finished: Notify,
 }
 
 impl SingleFlight {
-    /// Whether the caller is to start the work, as nobody has.
+    /// Returns whether the caller has to start the work, and marks it as running.
     pub fn try_start(&self) -> bool {
         !self.running.replace(true)
     }
 
+    /// Marks the work as finished and wakes all waiters.
     pub fn finish(&self) {
         self.running.set(false);
         self.finished.notify_waiters();
     }
 }
 
-/// Ends a flight, also when whoever waits for it gives up.
+/// Marks the work as finished when dropped, also if the future that runs it is cancelled.
 pub struct Guard<'a>(pub &'a SingleFlight);
 
 impl Drop for Guard<'_> {
--- a/crates/proxy/src/line/isolation.rs
+++ b/crates/proxy/src/line/isolation.rs
@@ -1,4 +1,5 @@
-//! Finds out whether this proxy is cut off with its data centre, once a server could not be reached.
+//! Checks whether this data centre is partitioned from the others, after a server or proxy could not
+//! be reached.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,21 +15,22 @@
     shared::Shared,
 };
 
-/// How long a live VM in another data centre needs to accept a connection.
-const REACH_TIMEOUT: Duration = Duration::from_millis(200);
+/// The connect timeout for a VM in another data centre.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The pause between two rounds.
-const AGAIN: Duration = Duration::from_millis(100);
+/// The delay between two rounds of connection attempts while all fail.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The pause after a round that reached something: refusals of other proxies are a suspicion each, and
-/// come by the hundred when queues are full.
-const REACHED_PAUSE: Duration = Duration::from_millis(300);
+/// The delay after a successful round. Each refusal by another proxy triggers a check, and full queues
+/// cause hundreds of them.
+const SUCCESS_DELAY: Duration = Duration::from_millis(300);
 
-/// How many proxies of other data centres are asked before the servers are, to which each connection has a
-/// price.
-const PEERS_ASKED: usize = 4;
+/// The number of proxies in other data centres that are tried before the servers, whose connections are
+/// scarce.
+const MAX_PEERS_TRIED: usize = 4;
 
-/// Looks outside whenever there is a suspicion, and goes on until something is reached.
+/// Whenever `failure_signal` is notified, tries to connect to other data centres until an attempt
+/// succeeds, and publishes the result of each round.
 pub async fn run(
     shared: Rc<Shared>,
     failure_signal: FailureSignal,
@@ -37,35 +39,35 @@
     loop {
         failure_signal.notified().await;
         loop {
-            let reached = reaches_out(&shared).await;
-            let was = *publish.borrow();
+            let reached = reaches_other_dcs(&shared).await;
+            let previous = *publish.borrow();
             publish.send_modify(|isolation| isolation.note(reached, clock::now()));
-            if was.is_isolated(clock::now()) == reached {
+            if previous.is_isolated(clock::now()) == reached {
                 journal::write("isolation", json!({ "outside_reached": reached }));
             }
             if reached {
                 break;
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
-        tokio::time::sleep(REACHED_PAUSE).await;
+        tokio::time::sleep(SUCCESS_DELAY).await;
     }
 }
 
-/// Whether any proxy or server outside the own data centre accepts a connection; `true` if there is none.
-async fn reaches_out(shared: &Shared) -> bool {
-    let peers = shared.peers.in_other_dcs(&shared.dc, PEERS_ASKED);
-    if any_connects(&peers).await {
+/// Whether any proxy or server in another data centre accepts a connection. `true` if none is known.
+async fn reaches_other_dcs(shared: &Shared) -> bool {
+    let peers = shared.peers.in_other_dcs(&shared.dc, MAX_PEERS_TRIED);
+    if any_accepts_connection(&peers).await {
         return true;
     }
     let servers = shared.servers_in_other_dcs();
-    (peers.is_empty() && servers.is_empty()) || any_connects(&servers).await
+    (peers.is_empty() && servers.is_empty()) || any_accepts_connection(&servers).await
 }
 
-async fn any_connects(outside: &[Rc<Backend>]) -> bool {
-    let mut attempts: FuturesUnordered<_> = outside
+async fn any_accepts_connection(targets: &[Rc<Backend>]) -> bool {
+    let mut attempts: FuturesUnordered<_> = targets
         .iter()
-        .map(|backend| reachability::can_connect(backend.server.address, REACH_TIMEOUT))
+        .map(|backend| reachability::can_connect(backend.server.address, CONNECT_TIMEOUT))
         .collect();
     while let Some(reached) = attempts.next().await {
         if reached {
--- a/crates/proxy/src/line/journal.rs
+++ b/crates/proxy/src/line/journal.rs
@@ -1,8 +1,8 @@
-//! Structured log lines on standard output, bounded and never blocking (`docs/OPERATIONS.md`).
+//! Structured logging to standard output, rate-limited and never blocking (`docs/OPERATIONS.md`).
 //!
-//! Lines are JSON objects. They go through a bounded queue to a thread of their own; a line that
-//! finds the queue full, or its kind's allowance used up, is counted and left out, and the count
-//! is written with the next line of that kind.
+//! Lines are JSON objects. They pass through a bounded queue to a writer thread. A line is dropped if
+//! the queue is full or if its kind has exceeded its rate limit. The next line of a rate-limited kind
+//! reports in `left_out` how many were dropped.
 
 use std::{
     io::Write,
@@ -17,35 +17,35 @@
 use dandelionpitch_core::hash::Map;
 use serde_json::{json, Value};
 
-/// Lines that may wait for standard output: some 200 KB.
-const QUEUE: usize = 1_000;
+const QUEUE_CAPACITY: usize = 1_000;
 
-/// Lines of one kind a second. 20 kinds at this rate are below 100 KB a second.
-const PER_SECOND: u32 = 20;
+/// The rate limit of each kind.
+const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// How long a stopping process waits for the lines that are left.
-const FLUSH_LIMIT: Duration = Duration::from_millis(100);
+/// How long a stopping process waits for queued lines to be written.
+const FLUSH_WAIT: Duration = Duration::from_millis(100);
 
-/// Lines left out because the queue was full.
+/// The number of lines dropped because the queue was full.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-struct Allowance {
-    second: Instant,
+/// The rate limit of one kind.
+struct RateLimit {
+    window_start: Instant,
     used: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 struct Journal {
     queue: SyncSender<String>,
-    kinds: Mutex<Map<&'static str, Allowance>>,
-    /// Taken by the writing thread.
+    kinds: Mutex<Map<&'static str, RateLimit>>,
+    /// Taken by the writer thread when it starts.
     lines: Mutex<Option<Receiver<String>>>,
 }
 
 fn journal() -> &'static Journal {
     static JOURNAL: OnceLock<Journal> = OnceLock::new();
     JOURNAL.get_or_init(|| {
-        let (queue, lines) = sync_channel(QUEUE);
+        let (queue, lines) = sync_channel(QUEUE_CAPACITY);
         Journal {
             queue,
             kinds: Mutex::default(),
@@ -54,8 +54,8 @@
     })
 }
 
-/// Starts writing; lines from before wait in the queue, so that the addresses, which scripts read,
-/// are the first line on standard output.
+/// Starts the writer thread. Earlier lines wait in the queue, so that the listening addresses, which
+/// scripts read, are the first line on standard output.
 pub fn start() {
     let Some(lines) = journal()
         .lines
@@ -69,52 +69,52 @@
         .name("journal".to_owned())
         .spawn(move || write_all(&lines));
     if let Err(error) = spawned {
-        // Without the thread lines are dropped and counted; traffic goes on.
-        log::error!(target: "journal", "No thread for the log lines: {error}.");
+        // Without the thread all lines are dropped, but traffic is served.
+        log::error!(target: "journal", "Failed to start the log writer thread: {error}.");
     }
 }
 
 fn write_all(lines: &Receiver<String>) {
     while let Ok(line) = lines.recv() {
         let mut out = std::io::stdout().lock();
-        // A reader that has gone away must not end the process.
+        // A closed standard output must not stop the process.
         let _ = out.write_all(line.as_bytes());
-        for more in lines.try_iter().take(QUEUE) {
+        for more in lines.try_iter().take(QUEUE_CAPACITY) {
             let _ = out.write_all(more.as_bytes());
         }
         let _ = out.flush();
     }
 }
 
-/// Writes a line of `kind` with `fields`, unless the kind's allowance is used up.
+/// Logs a line of `kind` with `fields`, unless the kind has exceeded its rate limit.
 pub fn write(kind: &'static str, fields: Value) {
     let journal = journal();
-    let left_out = {
+    let suppressed = {
         let Ok(mut kinds) = journal.kinds.lock() else {
             return;
         };
         let now = Instant::now();
-        let allowance = kinds.entry(kind).or_insert(Allowance {
-            second: now,
+        let limit = kinds.entry(kind).or_insert(RateLimit {
+            window_start: now,
             used: 0,
-            left_out: 0,
+            suppressed: 0,
         });
-        if now.duration_since(allowance.second) >= Duration::from_secs(1) {
-            allowance.second = now;
-            allowance.used = 0;
+        if now.duration_since(limit.window_start) >= Duration::from_secs(1) {
+            limit.window_start = now;
+            limit.used = 0;
         }
-        if allowance.used >= PER_SECOND {
-            allowance.left_out += 1;
+        if limit.used >= MAX_LINES_PER_SECOND {
+            limit.suppressed += 1;
             return;
         }
-        allowance.used += 1;
-        std::mem::take(&mut allowance.left_out)
+        limit.used += 1;
+        std::mem::take(&mut limit.suppressed)
     };
     let mut line = json!({ "at_ms": super::clock::now().millis() as u64, "kind": kind });
     if let (Some(line), Value::Object(fields)) = (line.as_object_mut(), fields) {
         line.extend(fields);
-        if left_out > 0 {
-            line.insert("left_out".to_owned(), left_out.into());
+        if suppressed > 0 {
+            line.insert("left_out".to_owned(), suppressed.into());
         }
     }
     if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
@@ -124,12 +124,12 @@
     }
 }
 
-/// How many lines were left out because standard output was not read.
+/// The number of lines dropped because standard output was not read fast enough.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// One line at the start and the stop of the process.
+/// Logs the start or stop of the process.
 pub fn process(what: &str, id: &str, listen: &str) {
     write(
         "process",
@@ -137,7 +137,7 @@
     );
 }
 
-/// A dependency lost or regained.
+/// Logs that a dependency was lost or is available again.
 pub fn dependency(name: &str, state: &str, why: &str) {
     write(
         "dependency",
@@ -145,12 +145,12 @@
     );
 }
 
-/// Something that failed and was passed over.
+/// Logs an error that does not stop the process.
 pub fn trouble(what: &str, why: &str) {
     write("trouble", json!({ "what": what, "why": why }));
 }
 
-/// Gives the writer a moment before the process ends.
+/// Waits [`FLUSH_WAIT`] for the writer thread before the process exits.
 pub fn flush() {
-    std::thread::sleep(FLUSH_LIMIT);
+    std::thread::sleep(FLUSH_WAIT);
 }
--- a/crates/proxy/src/line/operator.rs
+++ b/crates/proxy/src/line/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP endpoint: readiness, status and metrics.
+//! The HTTP endpoint for operators: readiness, status and metrics.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -15,21 +15,21 @@
     operator,
 };
 
-/// What `GET /status` answers.
+/// The response to `GET /status`.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub id: String,
     pub dc: String,
     /// The version of the configuration in force.
     pub version: u64,
-    /// Live proxies, this one included.
+    /// How many proxies share the servers, including this one.
     pub members: usize,
-    /// The groups whose connections this proxy holds, for itself or for others as well.
+    /// The groups whose statements this proxy runs on connections of its own.
     pub owns: Vec<String>,
     pub servers: Vec<ServerReport>,
-    /// Who tells this proxy what changes in the store, and how old that may be.
+    /// Where this proxy gets changes of the store, and how stale its copy is.
     pub changes: mirror::Report,
-    /// Log lines left out because standard output was not read.
+    /// Log lines dropped because standard output was not read fast enough.
     pub log_lines_dropped: u64,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug, Serialize)]
 pub struct ServerReport {
     pub id: String,
-    /// When its present life started, in Unix milliseconds; 0 if it does not say.
+    /// When its current incarnation started, in Unix milliseconds; 0 if unknown.
     pub born: u64,
     pub service: String,
     pub address: SocketAddr,
@@ -45,7 +45,7 @@
     pub missing: bool,
 }
 
-/// What the endpoint reads.
+/// The state that the endpoint reports.
 pub struct Context {
     pub id: String,
     pub dc: String,
@@ -56,13 +56,13 @@
     pub mirror: mirror::Handle,
 }
 
-/// Whether the balancer should send new callers: a configuration is in force, the process is not
-/// stopping and not cut off with its data centre. A proxy that has lost only the store stays ready.
+/// Whether the load balancer should send new callers: a configuration is in force, the process is not
+/// stopping, and its data centre is not partitioned. A proxy that has lost only the store stays ready.
 #[get("/ready")]
 fn ready(context: &State<Context>) -> Status {
-    let serves = context.view.borrow().catalog.is_some();
+    let has_configuration = context.view.borrow().catalog.is_some();
     let isolated = context.isolated.borrow().is_isolated(clock::now());
-    match serves && !isolated && !context.stopping.is_cancelled() {
+    match has_configuration && !isolated && !context.stopping.is_cancelled() {
         true => Status::Ok,
         false => Status::ServiceUnavailable,
     }
@@ -84,17 +84,17 @@
         dc: context.dc.clone(),
         version: view.version(),
         members: view.proxy_count,
-        owns: owned(&view),
+        owns: owned_groups(&view),
         servers: servers.collect(),
         changes: context.mirror.report(),
         log_lines_dropped: journal::dropped(),
     })
 }
 
-fn owned(view: &View) -> Vec<String> {
-    let own = view.ownership.iter();
-    let own = own.filter(|(_, ownership)| ownership.plan == Plan::Run);
-    let mut names: Vec<String> = own.map(|(name, _)| name.clone()).collect();
+fn owned_groups(view: &View) -> Vec<String> {
+    let owned = view.ownership.iter();
+    let owned = owned.filter(|(_, ownership)| ownership.plan == Plan::Run);
+    let mut names: Vec<String> = owned.map(|(name, _)| name.clone()).collect();
     names.sort_unstable();
     names
 }
@@ -108,7 +108,7 @@
     context.metrics.text()
 }
 
-/// Builds an endpoint that serves nothing but the counters.
+/// Builds an endpoint that serves only the metrics.
 pub fn metrics_only(address: SocketAddr, metrics: Metrics) -> rocket::Rocket<rocket::Build> {
     rocket::custom(operator::figment(address))
         .manage(metrics)
@@ -121,7 +121,7 @@
     metrics.text()
 }
 
-/// Builds the endpoint; it serves once launched.
+/// Builds the endpoint, which serves once launched and then sends its listening address to `bound`.
 pub fn build(
     address: SocketAddr,
     context: Context,
