--- a/crates/proxy/src/line/mirror.rs
+++ b/crates/proxy/src/line/mirror.rs
@@ -1,5 +1,5 @@
-//! This process's copy of the store's content, with how old it is: filled by the control thread, told to
-//! other proxies by the traffic thread.
+//! The process's copy of the store's content, and how stale it is. The control thread updates it, and the
+//! traffic thread serves it to other proxies.
 
 use std::{
     collections::VecDeque,
@@ -24,50 +24,51 @@
 
 use crate::line::clock;
 
-/// From how many bytes on a value is told by what of it is new.
-const LONG: usize = 4 * 1024;
+/// The size from which changes of a value are sent as deltas.
+const DELTA_MIN_BYTES: usize = 4 * 1024;
 
-/// How many earlier values of a key are remembered: configurations may come in quick succession.
-const EARLIER: usize = 8;
+/// The number of earlier versions kept per key. Followers may be several behind when configurations
+/// change in quick succession.
+const MAX_EARLIER_VERSIONS: usize = 8;
 
 /// The mirror of the process, shared by both threads.
 #[derive(Clone, Debug)]
 pub struct Handle {
     content: Arc<Mutex<Content>>,
-    /// Told with each change, and when it feeds no longer.
+    /// Notified of each change, and when the source is lost.
     changed: watch::Sender<()>,
 }
 
 #[derive(Debug, Default)]
 struct Content {
     mirror: Mirror<Value>,
-    /// The earlier values of keys that are long.
-    earlier: Map<String, Earlier>,
-    /// Up to when no change of the store was missed.
+    /// Earlier versions of large values, by key.
+    history: Map<String, History>,
+    /// The time up to which every change of the store has been applied.
     known_until: Moment,
-    /// Who told it last, as long as they still answer.
+    /// The source of the last update, until it fails.
     source: Option<Source>,
 }
 
-/// What a key was before.
+/// The earlier versions of a key.
 #[derive(Debug, Default)]
-struct Earlier {
-    /// The oldest first.
+struct History {
+    /// Oldest first.
     versions: VecDeque<Version>,
-    /// What was last told of the key, and the revision of the value that it makes: most followers have
-    /// the same version.
-    told: Option<(u64, Arc<Delta>)>,
+    /// The delta computed last and the revision of the value that it produces. Cached, as most followers
+    /// have the same version.
+    last_delta: Option<(u64, Arc<Delta>)>,
 }
 
-/// What operators are told of the mirror.
+/// The state of the mirror, for operators.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The proxy that tells of changes, or `store`; nothing if nobody does.
+    /// The proxy from which changes are received, or `store`; `None` if the source was lost.
     pub from: Option<String>,
-    /// How often the store has come back from a copy, and its revision since that was reached.
+    /// How often the store was restored from a backup, and the revision reached since then.
     pub era: u64,
     pub revision: u64,
-    /// How long ago, at most, a change may have been missed.
+    /// The staleness bound: all older changes have been applied.
     pub age_ms: u64,
 }
 
@@ -81,12 +82,13 @@
 }
 
 impl Handle {
-    /// Takes an update of `source` that is complete up to `known`; whether it followed what was there.
+    /// Applies an update from `source` that holds every change up to `known`. Returns whether it was
+    /// applied; see [`Mirror::apply`].
     pub fn apply(&self, source: &Source, update: &Update<Value>, known: Moment) -> bool {
         let mut content = self.lock();
         let before = content.mirror.revision();
-        content.keep_earlier(update);
-        let taken = content.mirror.apply(update);
+        content.record_history(update);
+        let applied = content.mirror.apply(update);
         content.known_until = content.known_until.max(known);
         content.source = Some(source.clone());
         let changed = content.mirror.revision() != before;
@@ -94,17 +96,17 @@
         if changed {
             self.changed.send_replace(());
         }
-        taken
+        applied
     }
 
-    /// Notes that the source was lost, which those who wait for changes are told at once.
+    /// Records that the source failed, and ends the waiting requests: [`Self::respond`] returns `None`.
     pub fn note_source_lost(&self) {
         if self.lock().source.take().is_some() {
             self.changed.send_replace(());
         }
     }
 
-    /// Up to when no change of the store was missed.
+    /// The time up to which every change of the store has been applied.
     pub fn known_until(&self) -> Moment {
         self.lock().known_until
     }
@@ -114,7 +116,7 @@
         self.lock().mirror.revision()
     }
 
-    /// What operators are told.
+    /// The state of the mirror, for operators.
     pub fn report(&self) -> Report {
         let content = self.lock();
         let age = clock::now().since(content.known_until);
@@ -131,23 +133,30 @@
         }
     }
 
-    /// Answers a question, as soon as there is something new; `None` if this process has nothing to go by.
-    pub async fn respond(&self, question: Request) -> Option<Response> {
-        let asked = clock::now();
+    /// Responds to a long poll as soon as there are changes, or when its wait has passed. `None` if the
+    /// mirror has no source or is older than [`MAX_RELAY_AGE`].
+    pub async fn respond(&self, request: Request) -> Option<Response> {
+        let requested_at = clock::now();
         let mut changed = self.changed.subscribe();
         loop {
-            let waited = clock::now().since(asked);
-            let left = question.wait.saturating_sub(waited);
-            if let Some(answer) = self.now(question.after, waited, left)? {
-                return Some(answer);
+            let waited = clock::now().since(requested_at);
+            let left = request.wait.saturating_sub(waited);
+            if let Some(response) = self.try_respond(request.after, waited, left)? {
+                return Some(response);
             }
-            // The sender lives in `self`; a timeout is looked at above.
+            // The channel stays open, as the sender is in `self`. The loop handles a timeout.
             let _ = tokio::time::timeout(left, changed.changed()).await;
         }
     }
 
-    /// What there is to tell at this moment; nothing yet if nothing is new and some time is `left`.
-    fn now(&self, after: u64, waited: Duration, left: Duration) -> Option<Option<Response>> {
+    /// The response at this moment: `Some(None)` if there is no change yet and time is `left`, `None` as
+    /// in [`Self::respond`].
+    fn try_respond(
+        &self,
+        after: u64,
+        waited: Duration,
+        left: Duration,
+    ) -> Option<Option<Response>> {
         let content = self.lock();
         let age = clock::now().since(content.known_until);
         if content.source.is_none() || age > MAX_RELAY_AGE {
@@ -164,27 +173,27 @@
         }))
     }
 
-    /// What makes the present value of a key, if that is long, of the one that it had for somebody who has
-    /// reached a revision; `None` if that one is not remembered.
+    /// The delta to a key's current value from the version that a follower at revision `reached` has.
+    /// `None` if that version is not kept, as for small values.
     pub fn delta(&self, key: &str, reached: u64) -> Option<Arc<Delta>> {
         let mut content = self.lock();
         let Content {
-            mirror, earlier, ..
+            mirror, history, ..
         } = &mut *content;
-        let earlier = earlier.get_mut(key)?;
-        let (of, old) = earlier.versions.iter().rfind(|(at, _)| *at <= reached)?;
+        let history = history.get_mut(key)?;
+        let (base, old) = history.versions.iter().rfind(|(at, _)| *at <= reached)?;
         let (to, value) = mirror.get(key)?;
-        match &earlier.told {
-            Some((made, told)) if *made == to && told.base_revision == *of => Some(told.clone()),
+        match &history.last_delta {
+            Some((at, last)) if *at == to && last.base_revision == *base => Some(last.clone()),
             _ => {
-                let delta = Arc::new(Delta::new(*of, old, value));
-                earlier.told = Some((to, delta.clone()));
+                let delta = Arc::new(Delta::new(*base, old, value));
+                history.last_delta = Some((to, delta.clone()));
                 Some(delta)
             }
         }
     }
 
-    /// The present value of a key.
+    /// The current value of a key and the revision at which it was written.
     pub fn current(&self, key: &str) -> Option<Version> {
         let content = self.lock();
         let (at, value) = content.mirror.get(key)?;
@@ -197,19 +206,19 @@
 }
 
 impl Content {
-    /// Remembers the long values that an update replaces, so that others can be told what is new of them.
-    fn keep_earlier(&mut self, update: &Update<Value>) {
+    /// Keeps the large values that an update replaces, as the base of deltas.
+    fn record_history(&mut self, update: &Update<Value>) {
         for change in &update.changes {
             let Some((at, old)) = self.mirror.get(change.key()) else {
                 continue;
             };
-            if old.len() < LONG || change.revision() <= at {
+            if old.len() < DELTA_MIN_BYTES || change.revision() <= at {
                 continue;
             }
-            let earlier = self.earlier.entry(change.key().to_owned()).or_default();
-            earlier.versions.push_back((at, old.clone()));
-            if earlier.versions.len() > EARLIER {
-                earlier.versions.pop_front();
+            let history = self.history.entry(change.key().to_owned()).or_default();
+            history.versions.push_back((at, old.clone()));
+            if history.versions.len() > MAX_EARLIER_VERSIONS {
+                history.versions.pop_front();
             }
         }
     }
--- a/crates/proxy/src/line/peers.rs
+++ b/crates/proxy/src/line/peers.rs
@@ -1,4 +1,4 @@
-//! The other proxies as traffic sees them, and to which of them the statements of each group go.
+//! The other proxies, and to which of them the statements of each group are forwarded.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,31 +20,32 @@
     metrics::Metrics,
 };
 
-/// The most connections to one other proxy: more statements than it runs at once for one group. Hundreds of
-/// proxies may have this many to the same owner.
-const MOST_LINKS: usize = 16;
+/// The limit of connections to each other proxy: more than the statements that an owner runs
+/// concurrently for a group.
+const MAX_CONNECTIONS: usize = 16;
 
-/// How many connections to one other proxy are kept that nobody uses.
-const SPARE_LINKS: usize = 1;
+/// The number of idle connections kept to each other proxy.
+const MAX_IDLE_CONNECTIONS: usize = 1;
 
 /// The other proxies.
 #[derive(Default)]
 pub struct Peers {
     known: RefCell<Map<String, Rc<Backend>>>,
     plans: RefCell<Map<String, Plan>>,
-    turn: Cell<usize>,
-    /// When all were last checked.
-    checked: Cell<Moment>,
+    /// Incremented with each choice, to spread the load over equal proxies.
+    rotation: Cell<usize>,
+    /// When the reachability of the proxies was last checked.
+    checked_at: Cell<Moment>,
 }
 
-/// The least time between two checks of all proxies that statements go to.
-const CHECK_EVERY: Duration = Duration::from_secs(1);
+/// The least time between two reachability checks after failures.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The most that are checked at once.
-const MOST_CHECKED: usize = 32;
+/// The number of proxies checked at a time.
+const MAX_CHECKED: usize = 32;
 
 impl Peers {
-    /// Takes the live proxies, and who owns which group, as they now are.
+    /// Applies the live proxies and the forwarding plans of a new view. `own` is the id of this proxy.
     pub fn update(&self, view: &View, own: &str, metrics: &Metrics) {
         let plans = view.ownership.iter();
         let plans = plans.map(|(name, ownership)| (name.clone(), ownership.plan.clone()));
@@ -53,93 +54,94 @@
         let mut known = self.known.borrow_mut();
         let live: Set<&str> = peers.iter().map(|peer| peer.id.as_str()).collect();
         known.retain(|id, backend| {
-            let lives = live.contains(id.as_str());
-            if !lives {
+            let is_live = live.contains(id.as_str());
+            if !is_live {
                 backend.pool.close();
             }
-            lives
+            is_live
         });
         for peer in peers.iter().filter(|peer| peer.id != own) {
             let same = |known: &Rc<Backend>| known.server.address == peer.address;
             if !known.get(&peer.id).is_some_and(same) {
-                known.insert(peer.id.clone(), backend(peer, metrics));
+                known.insert(peer.id.clone(), new_backend(peer, metrics));
             }
         }
     }
 
-    /// Notes that a proxy failed, and finds out about all others that statements go to.
+    /// Records that a proxy failed, and checks in the background whether the others to which statements
+    /// are forwarded can be reached.
     ///
-    /// Load pattern: a cut takes half of all owners away at once. Guard: the first statement that meets it
-    /// is enough, the others need not wait for each owner in turn. Of hundreds only some are checked,
-    /// or a restart of all proxies would have each of them call on all others.
+    /// A network partition makes many owners unreachable at once; without the check, statements would
+    /// find out one owner after another. The number of checks is limited, as otherwise each proxy would
+    /// connect to all others when all proxies restart.
     pub fn note_failure(&self, peer: &Rc<Backend>) {
         peer.lose();
         let now = clock::now();
-        if now.since(self.checked.get()) < CHECK_EVERY {
+        if now.since(self.checked_at.get()) < MIN_CHECK_INTERVAL {
             return;
         }
-        self.checked.set(now);
+        self.checked_at.set(now);
         let known = self.known.borrow();
         let owners = self
-            .named()
+            .target_ids()
             .into_iter()
             .filter_map(|id| known.get(&id).cloned());
-        owners.take(MOST_CHECKED).for_each(|owner| owner.check());
+        owners.take(MAX_CHECKED).for_each(|owner| owner.check());
     }
 
-    /// The proxies that statements go to, those of the own data centre first, each once.
-    fn named(&self) -> Vec<String> {
+    /// The ids of the proxies to which statements of any group are forwarded, without duplicates, local
+    /// owners first.
+    fn target_ids(&self) -> Vec<String> {
         let plans = self.plans.borrow();
-        let handed = plans.values().filter_map(|plan| match plan {
+        let forwarded = plans.values().filter_map(|plan| match plan {
             Plan::Run => None,
             Plan::Forward { local, fallback } => Some((local, fallback)),
         });
-        let (local, fallback): (Vec<_>, Vec<_>) = handed.unzip();
+        let (local, fallback): (Vec<_>, Vec<_>) = forwarded.unzip();
         let mut seen = Set::default();
         let all = local.into_iter().chain(fallback).flatten();
         all.filter(|id| seen.insert(id.as_str())).cloned().collect()
     }
 
-    /// Closes connections that were opened when much was under way and are not needed any more.
-    ///
-    /// Load pattern: after a restart of everything hundreds of proxies have many statements for one owner at
-    /// once. Kept for good, their connections take the descriptors of the owner's VM.
+    /// Closes idle connections that a burst of statements has left behind. Those of hundreds of proxies
+    /// would use up the file descriptors of an owner's VM.
     pub fn close_spare_connections(&self) {
         let known = self.known.borrow();
         known
             .values()
-            .for_each(|peer| peer.pool.shrink(SPARE_LINKS));
+            .for_each(|peer| peer.pool.shrink(MAX_IDLE_CONNECTIONS));
     }
 
-    /// Whether this proxy runs the group's statements itself.
+    /// Whether this proxy runs the group's statements itself instead of forwarding them.
     pub fn owns(&self, name: &str) -> bool {
         !matches!(self.plans.borrow().get(name), Some(Plan::Forward { .. }))
     }
 
-    /// Some proxies of other data centres, others each time.
-    pub fn in_other_dcs(&self, dc: &str, most: usize) -> Vec<Rc<Backend>> {
+    /// Up to `limit` proxies of other data centres. Successive calls start at different ones.
+    pub fn in_other_dcs(&self, dc: &str, limit: usize) -> Vec<Rc<Backend>> {
         let known = self.known.borrow();
-        let mut outside: Vec<_> = known.values().filter(|p| p.server.dc != dc).collect();
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
-        outside.sort_unstable_by_key(|peer| peer.server.address);
-        let count = outside.len().max(1);
-        outside.rotate_left(turn % count);
-        outside.into_iter().take(most).cloned().collect()
+        let mut remote: Vec<_> = known.values().filter(|p| p.server.dc != dc).collect();
+        let rotation = self.rotation.get();
+        self.rotation.set(rotation.wrapping_add(1));
+        remote.sort_unstable_by_key(|peer| peer.server.address);
+        let count = remote.len().max(1);
+        remote.rotate_left(rotation % count);
+        remote.into_iter().take(limit).cloned().collect()
     }
 
-    /// The proxies that a statement of the group goes to, best first; `None` if it is run here. Near ones
-    /// take turns; those that failed a moment ago come last, those that are lost only if all are.
+    /// The proxies to which a statement of the group is forwarded, in order of preference; `None` if this
+    /// proxy runs it. Owners in this data centre take turns. Proxies that failed a moment ago come last,
+    /// and unreachable ones are left out unless all are unreachable.
     pub fn forwarding_targets(&self, name: &str) -> Option<Vec<Rc<Backend>>> {
         let plans = self.plans.borrow();
         let Some(Plan::Forward { local, fallback }) = plans.get(name) else {
             return None;
         };
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
+        let rotation = self.rotation.get();
+        self.rotation.set(rotation.wrapping_add(1));
         let mut ids: Vec<&String> = local.iter().collect();
         let count = ids.len().max(1);
-        ids.rotate_left(turn % count);
+        ids.rotate_left(rotation % count);
         ids.extend(fallback);
         let known = self.known.borrow();
         let mut peers: Vec<Rc<Backend>> = ids
@@ -155,8 +157,8 @@
     }
 }
 
-/// Another proxy, spoken to as a backend server is.
-fn backend(peer: &Peer, metrics: &Metrics) -> Rc<Backend> {
+/// Represents another proxy as a backend server, so that it gets a connection pool.
+fn new_backend(peer: &Peer, metrics: &Metrics) -> Rc<Backend> {
     let server = Server {
         incarnation: Incarnation::from(peer.id.as_str()),
         service: peer::SERVICE.to_owned(),
@@ -171,5 +173,5 @@
         missing_since: None,
         leaving_since: None,
     };
-    Backend::peer(&entry, MOST_LINKS, metrics.clone())
+    Backend::peer(&entry, MAX_CONNECTIONS, metrics.clone())
 }
--- a/crates/proxy/src/line/shared.rs
+++ b/crates/proxy/src/line/shared.rs
@@ -1,4 +1,4 @@
-//! What all sessions of the process share, on the traffic thread.
+//! The state shared by all sessions on the traffic thread.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,31 +25,32 @@
     metrics::Metrics,
 };
 
-/// How often connections are closed that are not needed any more: to servers of groups that a proxy does
-/// not own, as it took statements while their owners were away, and to other proxies.
-const TIDY_EVERY: Duration = Duration::from_secs(3);
+/// How often idle connections are closed: those to servers of groups that this proxy does not own, opened
+/// while the owners were unreachable, and surplus ones to other proxies.
+const CLOSE_IDLE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What all sessions of the process share, on the traffic thread.
+/// The state shared by all sessions on the traffic thread.
 pub struct Shared {
     pub id: String,
     pub dc: String,
     pub view: watch::Receiver<Arc<View>>,
     pub groups: RefCell<Groups>,
-    /// The other proxies, and what is done with the statements of each group.
+    /// The other proxies, and which groups' statements are forwarded to them.
     pub peers: Peers,
     pub metrics: Metrics,
     pub stop: Stop,
     pub isolated: watch::Receiver<Isolation>,
     pub failure_signal: FailureSignal,
     pub records: Reader,
-    /// What the store holds, for other proxies.
+    /// The copy of the store's content, from which other proxies are served.
     pub mirror: Handle,
-    /// How many callers are connected.
+    /// How many callers are connected, plus the statements of other proxies in flight. A graceful
+    /// shutdown waits until it is 0.
     pub open_count: Rc<Cell<usize>>,
 }
 
 impl Shared {
-    /// The servers in other data centres.
+    /// The servers of all groups in other data centres.
     pub fn servers_in_other_dcs(&self) -> Vec<Rc<Backend>> {
         let groups = self.groups.borrow();
         let servers = groups.values().flat_map(|group| group.servers());
@@ -69,7 +70,7 @@
         )
     }
 
-    /// Returns when callers at rest are better served elsewhere.
+    /// Returns when idle sessions should be closed because this data centre is partitioned.
     pub async fn wait_for_isolation_close(&self) {
         let mut isolated = self.isolated.clone();
         loop {
@@ -79,16 +80,16 @@
             {
                 return;
             }
-            // Each round of looking outside is a change, so the moment is not missed.
+            // The isolation check reports each round as a change, so this is checked in time.
             if isolated.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// Brings the groups up to each new view, until the control thread is gone.
+    /// Applies each new view until the control thread ends, and closes idle connections regularly.
     pub async fn apply_views(self: Rc<Self>, mut view: watch::Receiver<Arc<View>>) {
-        let mut tidy = tokio::time::interval(TIDY_EVERY);
+        let mut close_idle = tokio::time::interval(CLOSE_IDLE_INTERVAL);
         loop {
             tokio::select! {
                 changed = view.changed() => match changed {
@@ -98,7 +99,7 @@
                     }
                     Err(_) => return,
                 },
-                _ = tidy.tick() => {
+                _ = close_idle.tick() => {
                     self.groups.borrow().values().for_each(|group| group.close_idle_if_not_owned());
                     self.peers.close_spare_connections();
                 }
@@ -108,7 +109,7 @@
 
     fn update(&self, view: &View) {
         self.peers.update(view, &self.id, &self.metrics);
-        let settled = view.peers.iter().any(|peer| peer.id == self.id);
+        let is_announced = view.peers.iter().any(|peer| peer.id == self.id);
         let mut groups = self.groups.borrow_mut();
         for (name, entries) in &view.servers {
             let group = groups
@@ -118,9 +119,9 @@
             let service = catalog.and_then(|catalog| catalog.services.get(name));
             let ownership = view.ownership.get(name);
             if let (Some(service), Some(ownership)) = (service, ownership) {
-                let counted = view.voters.get(name).map(Vec::as_slice);
-                group.set_owned(self.peers.owns(name), settled);
-                group.update(entries, service, ownership.allocation, counted);
+                let voters = view.voters.get(name).map(Vec::as_slice);
+                group.set_owned(self.peers.owns(name), is_announced);
+                group.update(entries, service, ownership.allocation, voters);
             }
         }
     }
@@ -130,7 +131,7 @@
         self.view.borrow().catalog.clone()
     }
 
-    /// The group of that name, whether servers of it are known or not.
+    /// The group with this name, created if none of its servers is known yet.
     pub fn group(&self, name: &str) -> Rc<Group> {
         let mut groups = self.groups.borrow_mut();
         groups
