--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -1,7 +1,9 @@
-//! One database group as traffic sees it: its servers, who leads, and what a read must see.
+//! A database group as the traffic thread sees it: its servers, the known leader, and the log
+//! positions that reads must see.
 //!
-//! Everything here is asked for when a statement needs it, so a group without traffic costs
-//! nothing. The rules are those of [`freshness`]; this module asks the questions.
+//! Servers are asked only when a statement needs the answer, or after the list of servers has
+//! changed. The engine's [`freshness`](dandelionpitch_engine::freshness) decides what the answers
+//! prove.
 
 mod durability;
 mod freshness;
@@ -30,7 +32,7 @@
     metrics::Metrics,
 };
 
-/// The server that leads, as far as this proxy knows.
+/// The known leader of a group: the primary with the highest term that has answered.
 #[derive(Clone)]
 pub struct Leader {
     pub backend: Rc<Backend>,
@@ -45,33 +47,33 @@
     pub metrics: Metrics,
     servers: RefCell<Vec<Rc<Backend>>>,
     leader: RefCell<Option<Leader>>,
-    marks: RefCell<Watermarks>,
+    watermarks: RefCell<Watermarks>,
     lease: Cell<Lease>,
     sync_replicas: Cell<usize>,
     owned: Cell<bool>,
-    settled: Cell<bool>,
-    /// Something has changed, and who leads is to be asked ahead.
+    is_announced: Cell<bool>,
+    /// Whether changed registrations call for a search for the leader.
     search_due: Cell<bool>,
-    /// The servers that count for a promotion, those that have vanished included, if a holder of the
-    /// failover duty has written them down.
-    counted: RefCell<Option<Vec<Incarnation>>>,
+    /// The servers that count for promotions, including unregistered ones; `None` until a failover
+    /// leader has recorded them.
+    voters: RefCell<Option<Vec<Incarnation>>>,
     records: Reader,
-    testimony: SingleFlight,
-    /// A write to the primary is long without an answer, and none has been answered since.
-    doubted: Cell<bool>,
-    /// When a replica last spoke for another primary.
-    denied: Cell<Moment>,
-    /// The newest position of the primary whose lease was not yet confirmed.
-    unconfirmed: Cell<Option<Watermark>>,
-    searched: Cell<Moment>,
+    record_read: SingleFlight,
+    /// Whether a write to the leader is overdue, and none has been answered since.
+    leader_suspect: Cell<bool>,
+    /// When a replica last reported a newer primary than the leader.
+    superseded_at: Cell<Moment>,
+    /// The newest watermark that the lease does not cover yet.
+    pending_watermark: Cell<Option<Watermark>>,
+    last_search: Cell<Moment>,
     search: SingleFlight,
     confirmation: SingleFlight,
     refresh: SingleFlight,
-    turn: Cell<usize>,
+    rotation: Cell<usize>,
 }
 
 impl Group {
-    /// A group that nothing is known of.
+    /// A group whose servers and leader are not known yet.
     pub fn new(
         name: &str,
         dc: &str,
@@ -86,34 +88,35 @@
             metrics,
             servers: RefCell::default(),
             leader: RefCell::default(),
-            marks: RefCell::default(),
+            watermarks: RefCell::default(),
             lease: Cell::default(),
             sync_replicas: Cell::default(),
             owned: Cell::new(true),
-            settled: Cell::default(),
+            is_announced: Cell::default(),
             search_due: Cell::default(),
-            counted: RefCell::default(),
+            voters: RefCell::default(),
             records,
-            testimony: SingleFlight::default(),
-            denied: Cell::default(),
-            doubted: Cell::default(),
-            unconfirmed: Cell::default(),
-            searched: Cell::default(),
+            record_read: SingleFlight::default(),
+            superseded_at: Cell::default(),
+            leader_suspect: Cell::default(),
+            pending_watermark: Cell::default(),
+            last_search: Cell::default(),
             search: SingleFlight::default(),
             confirmation: SingleFlight::default(),
             refresh: SingleFlight::default(),
-            turn: Cell::default(),
+            rotation: Cell::default(),
         })
     }
 
-    /// Takes the servers of a new view. A change of who is there or of how a server sees itself is
-    /// a reason to ask again who leads.
+    /// Applies the servers of a new view. `voters` are those that count for promotions, if known. A
+    /// search for the leader becomes due if servers or their registered roles have changed, or if the
+    /// leader is not registered as a primary.
     pub fn update(
         self: &Rc<Self>,
         entries: &[Entry],
         service: &Service,
         allocation: Allocation,
-        counted: Option<&[Incarnation]>,
+        voters: Option<&[Incarnation]>,
     ) {
         self.sync_replicas.set(service.sync_replicas as usize);
         let mut changed = false;
@@ -146,18 +149,18 @@
             }
         }
         for backend in old {
-            let kept = |new: &Rc<Backend>| Rc::ptr_eq(new, &backend);
-            if !servers.iter().any(kept) {
+            let is_kept = |new: &Rc<Backend>| Rc::ptr_eq(new, &backend);
+            if !servers.iter().any(is_kept) {
                 changed = true;
                 backend.pool.close();
                 self.clear_leader(&backend);
             }
         }
         for backend in &servers {
-            let counts = counted.is_some_and(|ids| ids.contains(&backend.server.incarnation));
+            let counts = voters.is_some_and(|ids| ids.contains(&backend.server.incarnation));
             backend.counted.set(counts);
         }
-        *self.counted.borrow_mut() = counted.map(<[Incarnation]>::to_vec);
+        *self.voters.borrow_mut() = voters.map(<[Incarnation]>::to_vec);
         *self.servers.borrow_mut() = servers;
         let primaries = |entry: &&Entry| entry.server.role == Role::Primary;
         let leader = self
@@ -171,23 +174,23 @@
         if changed {
             self.search_due.set(true);
         }
-        if self.owned.get() && self.settled.get() && self.search_due.take() {
-            self.search_ahead();
+        if self.owned.get() && self.is_announced.get() && self.search_due.take() {
+            self.spawn_search();
         }
     }
 
-    /// Notes whether this proxy runs the group's statements on connections of its own, and whether the
-    /// other proxies know of it.
+    /// Sets whether this proxy runs the group's statements on its own connections, and whether the
+    /// other proxies know of this proxy.
     ///
-    /// Failure: proxies that start together each take themselves for owners, and their first questions are
-    /// more connections than the servers take. Guard: nothing is asked ahead before the entry of this
-    /// proxy has come back from the store; a caller's statement is still served at once.
-    pub fn set_owned(&self, owned: bool, settled: bool) {
+    /// Proxies that start together all take themselves for owners, and their status requests could
+    /// need more connections than the servers accept. So no search is started in the background before
+    /// this proxy has read its own registration from the store. Statements are served nevertheless.
+    pub fn set_owned(&self, owned: bool, is_announced: bool) {
         self.owned.set(owned);
-        self.settled.set(settled);
+        self.is_announced.set(is_announced);
     }
 
-    /// Closes idle connections of a group that others hold connections for.
+    /// Closes idle connections if other proxies own the group.
     pub fn close_idle_if_not_owned(&self) {
         if !self.owned.get() {
             let servers = self.servers.borrow();
@@ -209,7 +212,7 @@
         self.servers.borrow().clone()
     }
 
-    /// Who leads, asking all servers if it is not known.
+    /// The leader. Asks all servers if it is not known.
     pub async fn leader(self: &Rc<Self>) -> Option<Leader> {
         let known = self.leader.borrow().clone();
         match known {
@@ -221,12 +224,12 @@
         }
     }
 
-    /// Who leads, without asking.
+    /// The leader, if it is known.
     pub fn known_leader(&self) -> Option<Leader> {
         self.leader.borrow().clone()
     }
 
-    /// Whether `backend` is known to lead.
+    /// Whether `backend` is the known leader.
     pub fn is_leader(&self, backend: &Rc<Backend>) -> bool {
         let leader = self.leader.borrow();
         leader
@@ -234,55 +237,56 @@
             .is_some_and(|leader| Rc::ptr_eq(&leader.backend, backend))
     }
 
-    /// The term that `backend` is known to lead.
+    /// The term of `backend` if it is the known leader.
     pub fn leader_term(&self, backend: &Rc<Backend>) -> Option<u64> {
         let leader = self.known_leader()?;
         Rc::ptr_eq(&leader.backend, backend).then_some(leader.term)
     }
 
-    /// Notes that `backend` does not lead, or cannot be reached.
+    /// Forgets the leader if it is `backend`, which does not lead or cannot be reached.
     pub fn clear_leader(&self, backend: &Rc<Backend>) {
         if self.is_leader(backend) {
             *self.leader.borrow_mut() = None;
-            self.revoke();
+            self.revoke_lease();
         }
     }
 
-    /// Notes that a write to `backend` is long without an answer.
+    /// Records that a write to `backend` is overdue.
     pub fn note_slow_write(&self, backend: &Rc<Backend>) {
-        if self.is_leader(backend) && !self.doubted.replace(true) {
+        if self.is_leader(backend) && !self.leader_suspect.replace(true) {
             journal::write(
                 "doubt",
                 json!({ "service": self.name, "server": backend.server.id() }),
             );
-            self.revoke();
+            self.revoke_lease();
         }
     }
 
-    /// Notes that a write to `backend` was answered.
+    /// Records that `backend` answered a write.
     pub fn note_write_answered(&self, backend: &Rc<Backend>) {
         if self.is_leader(backend) {
-            self.doubted.set(false);
+            self.leader_suspect.set(false);
         }
     }
 
-    /// Whether writes need the replicas' word first.
+    /// Whether a write to the leader is overdue, and none has been answered since. Further writes then
+    /// have to be preceded by [`Self::confirm_leader`].
     ///
-    /// Failure: the primary is cut off with this data centre; every write sent to it hangs, and its
-    /// caller hears that the outcome is unknown and cannot repeat it. Guard: after the first one
-    /// that hangs, a write is sent only if a replica, asked after it came, obeys the primary; else
-    /// its caller hears that nothing was run.
+    /// A primary that is partitioned together with this data centre never answers writes. Their
+    /// outcome is unknown, so callers cannot retry them. After the first such write, others are sent
+    /// only if a replica, asked after the write arrived, follows the primary. Otherwise the caller is
+    /// told that the write was not run.
     pub fn is_leader_suspect(&self) -> bool {
-        self.doubted.get()
+        self.leader_suspect.get()
     }
 
-    fn revoke(&self) {
+    fn revoke_lease(&self) {
         self.lease.set(Lease::default());
-        self.unconfirmed.set(None);
+        self.pending_watermark.set(None);
     }
 
-    /// The servers that may take a read, best first. Servers that leave or did not answer come
-    /// last, and those that left too long ago not at all.
+    /// The servers that may run a read, in order of preference. Servers that are leaving, missing or
+    /// did not answer a moment ago come last, and servers that no longer accept work are excluded.
     pub fn read_candidates(&self, now: Moment) -> Vec<Rc<Backend>> {
         let mut servers = self.servers();
         servers.retain(|backend| backend.takes_work(now));
@@ -290,9 +294,9 @@
             .iter()
             .map(|backend| backend.candidate(self.is_leader(backend), &self.dc))
             .collect();
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
-        let mut order: Vec<Rc<Backend>> = placement::order(&candidates, turn)
+        let rotation = self.rotation.get();
+        self.rotation.set(rotation.wrapping_add(1));
+        let mut order: Vec<Rc<Backend>> = placement::order(&candidates, rotation)
             .into_iter()
             .map(|index| servers[index].clone())
             .collect();
@@ -304,5 +308,5 @@
     }
 }
 
-/// The type under which groups are shared on the traffic thread.
+/// The groups by name.
 pub type Groups = dandelionpitch_core::hash::Map<String, Rc<Group>>;
--- a/crates/proxy/src/line/group/durability.rs
+++ b/crates/proxy/src/line/group/durability.rs
@@ -1,5 +1,5 @@
-//! Whether a commit is certain to outlive a change of the primary, before its caller is told that it
-//! is kept. What the answers prove is decided by [`commit`].
+//! Confirms that a commit survives any failover, before its caller is told that it succeeded. The
+//! engine's [`commit`] decides what the servers' answers prove.
 //!
 //! [`commit`]: dandelionpitch_engine::commit
 
@@ -22,28 +22,30 @@
 
 use crate::line::{backend::Backend, clock, journal};
 
-/// How long the nearest replica is waited for before the next is asked as well: a status behind
-/// one statement of usual length.
-const HEDGE: Duration = Duration::from_millis(40);
+/// How long a replica may take before the next one is asked as well. Covers a status request queued
+/// behind a typical statement.
+const HEDGE_DELAY: Duration = Duration::from_millis(40);
 
-/// How long the first answer of a round is waited for: as long as a status may take.
-const FIRST_ANSWER: Duration = Duration::from_millis(400);
+/// The timeout for the first answer of a round, the same as that of a status request.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the others are waited for once a server has the commit: some round trips between data
-/// centres.
-const LATE_ANSWER: Duration = Duration::from_millis(25);
+/// The timeout for each further answer once a server is known to have the commit: some round trips
+/// between data centres.
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// The pause before the replicas are asked again, and the longest one. A commit reaches them within some
-/// milliseconds; one that does not may wait for the end of a promotion, and each question takes a slot.
-const ASK_AGAIN: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(80));
+/// The first and the longest delay between rounds. A commit usually reaches the replicas within
+/// milliseconds, but may have to wait for the end of a promotion, and each status request occupies a
+/// slot of a server.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(80));
 
 impl Group {
-    /// Whether a commit at `position` of `backend`, sent to it as the primary of `term`, will be in the log
-    /// of whoever is promoted; asks until `limit` has passed or another primary is known.
+    /// Waits until it is proved that a commit survives any failover, and returns whether it is. Gives
+    /// up after `limit`, or when a primary of a later term is known. The commit is at `position` in
+    /// the log of `backend`, to which it was sent as the primary of `term`.
     ///
-    /// Failure: a primary acknowledges a commit on the word of a replica that no promoter knows of, or
-    /// that received it only when a promotion had taken effect; the server that is promoted lacks what
-    /// callers were told is kept. Guard: [`Commit::is_durable`], at the cost of one question a commit.
+    /// The primary's acknowledgement is no proof: it may rest on a replica that does not count for
+    /// promotions, or that received the commit only after a promotion took effect. The promoted server
+    /// would then lack the commit. See [`Commit::is_durable`].
     pub async fn wait_until_durable(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
@@ -55,61 +57,66 @@
         if sync_replicas == 0 {
             return true;
         }
-        // A server that has been replaced meanwhile may speak of another's log.
+        // A server that was superseded in the meantime may report a position of its successor's log.
         let Some(position) = position.filter(|position| position.term == term) else {
             return false;
         };
         let mut commit = Commit::new(position, sync_replicas);
-        let found = async {
-            let mut pause = ASK_AGAIN.0;
+        let confirmed = async {
+            let mut delay = RETRY_DELAYS.0;
             while !self.confirm_commit(backend, &mut commit).await {
                 if self.known_leader().is_some_and(|leader| leader.term > term) {
                     return false;
                 }
-                sleep(pause).await;
-                pause = ASK_AGAIN.1.min(pause * 2);
+                sleep(delay).await;
+                delay = RETRY_DELAYS.1.min(delay * 2);
             }
             true
         };
-        timeout(limit, found).await.unwrap_or(false)
+        timeout(limit, confirmed).await.unwrap_or(false)
     }
 
-    /// Whether a commit could be confirmed, as far as is known before it is made.
+    /// Whether it may be possible to confirm a commit that is made now.
     ///
-    /// Load pattern: the store is away for longer than a list of servers holds, and one that counts is
-    /// gone: no proof can come, and every commit would end with an unknown outcome at its deadline, which
-    /// its caller may not repeat.
+    /// It is impossible while the list of servers that count for promotions is not current and one of
+    /// them is no longer registered. Writes are then refused, as the outcome of each would be unknown at
+    /// its deadline, and callers could not retry it.
     pub fn can_confirm_commits(&self) -> bool {
         self.sync_replicas.get() == 0
-            || self.list() == Membership::Current
+            || self.membership() == Membership::Current
             || self.unregistered() == 0
     }
 
-    /// Whether a commit of `backend` is proved to be kept by what is known so far.
-    fn is_proved(&self, backend: &Rc<Backend>, commit: &Commit) -> bool {
-        let lease = self.leads(backend, commit).then(|| self.lease.get());
-        commit.is_durable(lease.as_ref(), self.list(), &self.others(backend))
+    /// Whether the answers so far prove that a commit of `backend` is durable.
+    fn is_commit_durable(&self, backend: &Rc<Backend>, commit: &Commit) -> bool {
+        let lease = self.is_leader_of(backend, commit).then(|| self.lease.get());
+        commit.is_durable(
+            lease.as_ref(),
+            self.membership(),
+            &self.other_servers(backend),
+        )
     }
 
-    /// Whether `backend` is known as the primary of the commit's term.
-    fn leads(&self, backend: &Rc<Backend>, commit: &Commit) -> bool {
+    /// Whether `backend` is the known leader in the commit's term.
+    fn is_leader_of(&self, backend: &Rc<Backend>, commit: &Commit) -> bool {
         self.leader_term(backend) == Some(commit.term())
     }
 
-    /// One round: asks the replicas, and the store if they have the commit and that alone is no proof.
+    /// Runs one round: asks the replicas, and then reads the group's record from the store if a replica
+    /// has the commit but the answers are no proof. Returns whether the commit is durable.
     async fn confirm_commit(self: &Rc<Self>, backend: &Rc<Backend>, commit: &mut Commit) -> bool {
         let asked = clock::now();
-        let followers = self.ask_for_commit(backend, commit, asked).await;
-        if self.is_proved(backend, commit) {
+        let followers = self.poll_for_commit(backend, commit, asked).await;
+        if self.is_commit_durable(backend, commit) {
             return true;
         }
-        let obeyed = (followers >= self.sync_replicas.get()).then_some(asked);
-        commit.is_replicated() && self.ask_store(backend, commit, obeyed).await
+        let followed = (followers >= self.sync_replicas.get()).then_some(asked);
+        commit.is_replicated() && self.confirm_by_record(backend, commit, followed).await
     }
 
-    /// Asks the replicas whether they have the commit: one after the other while one is enough, else
-    /// all at once. Returns how many obey the primary.
-    async fn ask_for_commit(
+    /// Asks the replicas whether they have the commit: [`HEDGE_DELAY`] apart if the lease makes
+    /// `sync_replicas` of them sufficient, else all at once. Returns how many follow the primary.
+    async fn poll_for_commit(
         &self,
         backend: &Rc<Backend>,
         commit: &mut Commit,
@@ -117,43 +124,43 @@
     ) -> usize {
         let mut replicas = self.servers();
         replicas.retain(|replica| !Rc::ptr_eq(replica, backend));
-        let vouching = replicas.iter().filter(|replica| replica.vouches()).count();
-        let proved =
-            self.lease.get().excludes_promotion(asked) && self.list() == Membership::Current;
-        let hedge = match proved && vouching >= self.sync_replicas.get() {
+        let voting = replicas.iter().filter(|replica| replica.vouches()).count();
+        let lease_suffices =
+            self.lease.get().excludes_promotion(asked) && self.membership() == Membership::Current;
+        let spacing = match lease_suffices && voting >= self.sync_replicas.get() {
             true => {
                 replicas.retain(|replica| replica.vouches());
                 replicas.sort_by_key(|replica| {
                     let remote = replica.server.dc != self.dc;
                     (replica.avoided(asked), replica.is_leaving(), remote)
                 });
-                HEDGE
+                HEDGE_DELAY
             }
             false => Duration::ZERO,
         };
-        let ask = |(place, replica)| ask_after(hedge * place, replica);
+        let ask = |(index, replica)| status_after(spacing * index, replica);
         let mut answers: FuturesUnordered<_> = (0..).zip(&replicas).map(ask).collect();
         let mut followers = 0;
-        let mut patience = FIRST_ANSWER;
-        while let Ok(Some((replica, answer))) = timeout(patience, answers.next()).await {
-            // Its reason was noted where it was asked.
+        let mut answer_timeout = FIRST_ANSWER_TIMEOUT;
+        while let Ok(Some((replica, answer))) = timeout(answer_timeout, answers.next()).await {
+            // `Backend::status` has already handled the error.
             let Ok(status) = answer else { continue };
-            let (id, vouches) = (&replica.server.incarnation, replica.vouches());
-            followers += usize::from(self.note_word(replica, asked, followers + 1, &status));
-            commit.note(id, vouches, &status, clock::now());
-            if self.is_proved(backend, commit) {
+            let (id, counts) = (&replica.server.incarnation, replica.vouches());
+            followers += usize::from(self.note_status(replica, asked, followers + 1, &status));
+            commit.note(id, counts, &status, clock::now());
+            if self.is_commit_durable(backend, commit) {
                 break;
             }
             if commit.is_replicated() {
-                patience = LATE_ANSWER;
+                answer_timeout = LATE_ANSWER_TIMEOUT;
             }
         }
         followers
     }
 
-    /// Takes the word of a replica for the primary's lease as well: the `followers`th that obeys it of those
-    /// asked after `asked`. Returns whether it does.
-    fn note_word(
+    /// Applies a replica's status to the leader's lease as well. `followers` is the number of replicas
+    /// asked at `asked` that follow the leader, including this one if it does. Returns whether it does.
+    fn note_status(
         &self,
         replica: &Rc<Backend>,
         asked: Moment,
@@ -165,56 +172,58 @@
         };
         match freshness::relation(status, leader.term) {
             Relation::Follows => {
-                self.confirmed(self.poll(asked, followers));
+                self.apply_poll(self.new_poll(asked, followers));
                 true
             }
             Relation::Supersedes => {
-                self.superseded(&leader, replica, status);
+                self.note_superseded(&leader, replica, status);
                 false
             }
             Relation::Unrelated => false,
         }
     }
 
-    /// Asks the store whether anybody was promoted after the primary. One question serves all commits
-    /// that wait for the lease, which begins anew if a replica `obeyed` the primary before.
+    /// Reads the group's record from the store and returns whether it proves that the commit is durable.
+    /// If enough replicas followed the primary when asked at `followed`, the record also starts or renews
+    /// the lease. Concurrent commits share one read and are then proved by the lease.
     ///
-    /// Load pattern: a replica is lost while its group has few statements, so that no lease can begin;
-    /// every commit would have an unknown outcome until the replica is back or gone.
-    async fn ask_store(
+    /// While a replica is unreachable, a lease that has expired cannot start again from answers alone.
+    /// Without the record, every commit would then have an unknown outcome until the replica is back or
+    /// removed.
+    async fn confirm_by_record(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
         commit: &Commit,
-        obeyed: Option<Moment>,
+        followed: Option<Moment>,
     ) -> bool {
-        if !self.testimony.try_start() {
-            self.testimony.finished.notified().await;
-            return self.is_proved(backend, commit);
+        if !self.record_read.try_start() {
+            self.record_read.finished.notified().await;
+            return self.is_commit_durable(backend, commit);
         }
-        let _landing = Guard(&self.testimony);
-        let Some(testimony) = self.records.snapshot(&self.name).await else {
+        let _guard = Guard(&self.record_read);
+        let Some(record) = self.records.snapshot(&self.name).await else {
             return false;
         };
         let leader = &backend.server.incarnation;
-        let witnessed =
-            self.leads(backend, commit) && commit.is_durable_by_record(&testimony, leader);
+        let durable =
+            self.is_leader_of(backend, commit) && commit.is_durable_by_record(&record, leader);
         journal::write(
             "testimony",
-            json!({ "service": self.name, "server": leader, "promoted": testimony.promoted,
-                "kept": witnessed }),
+            json!({ "service": self.name, "server": leader, "promoted": record.promoted,
+                "kept": durable }),
         );
-        if let (true, Some(obeyed)) = (witnessed, obeyed) {
+        if let (true, Some(followed)) = (durable, followed) {
             let mut lease = self.lease.get();
-            lease.renew_from_record(obeyed);
+            lease.renew_from_record(followed);
             self.lease.set(lease);
         }
-        witnessed
+        durable
     }
 
-    /// What the list of servers that count is worth.
-    fn list(&self) -> Membership {
+    /// How current the list of servers that count for promotions is.
+    fn membership(&self) -> Membership {
         match (
-            self.counted.borrow().is_some(),
+            self.voters.borrow().is_some(),
             self.records.are_current(clock::now()),
         ) {
             (false, _) => Membership::Missing,
@@ -223,13 +232,14 @@
         }
     }
 
-    /// All servers besides the primary `backend`, those included that count and have vanished.
-    fn others(&self, backend: &Rc<Backend>) -> Vec<Incarnation> {
+    /// All servers except the primary `backend`, including those that count for promotions but are no
+    /// longer registered.
+    fn other_servers(&self, backend: &Rc<Backend>) -> Vec<Incarnation> {
         let servers = self.servers.borrow();
         let registered = servers.iter().map(|server| &server.server.incarnation);
-        let counted = self.counted.borrow();
+        let voters = self.voters.borrow();
         let mut others: Vec<Incarnation> = registered
-            .chain(counted.iter().flatten())
+            .chain(voters.iter().flatten())
             .filter(|id| **id != backend.server.incarnation)
             .cloned()
             .collect();
@@ -238,8 +248,8 @@
         others
     }
 
-    /// A poll of which `followers` obey the primary so far.
-    pub(super) fn poll(&self, asked: Moment, followers: usize) -> Poll {
+    /// A poll sent at `asked`, in which `followers` replicas follow the primary so far.
+    pub(super) fn new_poll(&self, asked: Moment, followers: usize) -> Poll {
         Poll {
             asked,
             answered: clock::now(),
@@ -250,24 +260,24 @@
         }
     }
 
-    /// How many servers count that are not registered.
+    /// How many servers count for promotions but are not registered.
     fn unregistered(&self) -> usize {
         let servers = self.servers.borrow();
-        let counted = self.counted.borrow();
+        let voters = self.voters.borrow();
         let registered = |id: &Incarnation| {
             servers
                 .iter()
                 .any(|backend| backend.server.incarnation == *id)
         };
-        let unregistered = counted.iter().flatten().filter(|id| !registered(id));
+        let unregistered = voters.iter().flatten().filter(|id| !registered(id));
         unregistered.count()
     }
 }
 
-async fn ask_after(
-    pause: Duration,
+async fn status_after(
+    delay: Duration,
     replica: &Rc<Backend>,
 ) -> (&Rc<Backend>, Result<Status, Error>) {
-    sleep(pause).await;
+    sleep(delay).await;
     (replica, replica.status().await)
 }
--- a/crates/proxy/src/line/group/freshness.rs
+++ b/crates/proxy/src/line/group/freshness.rs
@@ -1,5 +1,5 @@
-//! Asks a group's servers for what proves that a read misses nothing: who leads, and how far the
-//! primary's log goes. What an answer proves is decided by [`freshness`].
+//! Requests the statuses that prove that a read misses no commit: which server leads, and where the
+//! primary's log ends. The engine's [`freshness`] decides what an answer proves.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,59 +18,59 @@
 
 use crate::line::{backend::Backend, clock, journal};
 
-/// The least time until replicas are asked again that spoke for another primary: a promotion takes
-/// most of a second.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+/// The least time between a replica's report that the leader is superseded and the next poll of the
+/// replicas. An earlier poll would be useless, as the promotion takes longer.
+const SUPERSEDED_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long the primary alone is asked for a position before all servers are: twice the usual time of a
-/// statement, behind which its answer may wait.
-const PRIMARY_FIRST: Duration = Duration::from_millis(80);
+/// How long the primary may take to report the end of its log before all servers are asked. Covers a
+/// status request queued behind a typical statement.
+const PRIMARY_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// How long the first answer of a poll is waited for.
-const STATUS_PATIENCE: Duration = Duration::from_millis(400);
+/// The timeout for the first answer of a poll.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the others are waited for once one has answered: some round trips between data centres.
-const LATE_ANSWER: Duration = Duration::from_millis(25);
+/// The timeout for each further answer: some round trips between data centres.
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(25);
 
 impl Group {
-    /// Whether a read that came at `at` misses nothing on the known primary, asking the replicas if
-    /// needed.
+    /// Whether a read that arrived at `at` sees every acknowledged commit on the known leader. Polls
+    /// the replicas if the lease does not prove it.
     ///
-    /// Failure: the primary is cut off with this data centre, another one was promoted, and a read
-    /// here misses what that one acknowledged. Guard: [`Lease`].
+    /// The leader may be partitioned together with this data centre while another primary has been
+    /// promoted, whose commits a read on the leader would miss. The [`freshness::Lease`] excludes this.
     pub async fn confirm_leader(self: &Rc<Self>, at: Moment) -> bool {
-        // A poll that was already under way when the read came may not be enough.
+        // A poll that was sent before the read arrived may not cover it.
         for _ in 0..3 {
             let lease = self.lease.get();
             if lease.covers(at) {
                 if lease.needs_renewal(clock::now()) {
-                    self.confirm_ahead();
+                    self.spawn_confirmation();
                 }
                 return true;
             }
-            self.confirm_ahead();
+            self.spawn_confirmation();
             self.confirmation.finished.notified().await;
         }
         self.lease.get().covers(at)
     }
 
     /// Renews the lease in the background, so that the next read need not wait for it.
-    fn confirm_ahead(self: &Rc<Self>) {
+    fn spawn_confirmation(self: &Rc<Self>) {
         if !self.confirmation.try_start() {
             return;
         }
         let group = self.clone();
         tokio::task::spawn_local(async move {
-            let wait = clock::now().until(group.denied.get() + ASK_AGAIN);
-            tokio::time::sleep(wait).await;
-            group.ask_replicas().await;
+            let delay = clock::now().until(group.superseded_at.get() + SUPERSEDED_RETRY_DELAY);
+            tokio::time::sleep(delay).await;
+            group.poll_replicas().await;
             group.confirmation.finish();
         });
     }
 
-    /// Asks the replicas whether they obey the primary: all of them, or only as many as needed to
-    /// renew the lease.
-    async fn ask_replicas(&self) {
+    /// Polls the replicas for whether they follow the leader: all of them, or only as many as are
+    /// needed to renew the lease.
+    async fn poll_replicas(&self) {
         let Some(leader) = self.known_leader() else {
             return;
         };
@@ -88,52 +88,55 @@
             .iter()
             .map(|replica| async move { (replica, replica.status().await) })
             .collect();
-        let mut patience = STATUS_PATIENCE;
-        while let Ok(Some((replica, answer))) = timeout(patience, answers.next()).await {
-            // Meanwhile another search may have found another primary.
+        let mut answer_timeout = FIRST_ANSWER_TIMEOUT;
+        while let Ok(Some((replica, answer))) = timeout(answer_timeout, answers.next()).await {
+            // A search may have found another leader in the meantime.
             if !self.is_leader(&leader.backend) {
                 return;
             }
             let Ok(status) = answer else { continue };
             match freshness::relation(&status, leader.term) {
                 Relation::Follows => followers += 1,
-                Relation::Supersedes => return self.superseded(&leader, replica, &status),
+                Relation::Supersedes => return self.note_superseded(&leader, replica, &status),
                 Relation::Unrelated => {}
             }
-            patience = LATE_ANSWER;
+            answer_timeout = LATE_ANSWER_TIMEOUT;
         }
-        self.confirmed(self.poll(asked, followers));
+        self.apply_poll(self.new_poll(asked, followers));
     }
 
-    pub(super) fn superseded(&self, leader: &Leader, by: &Rc<Backend>, status: &Status) {
+    /// Records that `by` reported a later term than that of `leader`, or is held for one: revokes the
+    /// lease, and forgets the leader in the former case.
+    pub(super) fn note_superseded(&self, leader: &Leader, by: &Rc<Backend>, status: &Status) {
         journal::write(
             "superseded",
             json!({ "service": self.name, "server": leader.backend.server.id(),
                 "term": leader.term, "by": by.server.id(), "its_term": status.term,
                 "held": status.held }),
         );
-        self.denied.set(clock::now());
-        self.revoke();
+        self.superseded_at.set(clock::now());
+        self.revoke_lease();
         if status.term > leader.term {
             self.clear_leader(&leader.backend);
         }
     }
 
-    pub(super) fn confirmed(&self, poll: Poll) {
+    /// Applies a poll to the lease, and adds the pending watermark if the lease now covers it.
+    pub(super) fn apply_poll(&self, poll: Poll) {
         let mut lease = self.lease.get();
         lease.confirm(poll);
         self.lease.set(lease);
-        if let Some(mark) = self.unconfirmed.take() {
-            self.note(mark);
+        if let Some(watermark) = self.pending_watermark.take() {
+            self.note_watermark(watermark);
         }
     }
 
-    /// Notes the end of a server's log, from its answer to a question sent at `asked`. Returns
-    /// whether the answer may be the primary's, if the server is known as that.
+    /// Records the end of a server's log, from its answer to a request sent at `asked`. Returns
+    /// `false` if the server is the known leader but the answer is not a primary's.
     ///
-    /// Failure: the primary was superseded and already follows another, or has started again with an
-    /// empty log, and its answer is taken for a primary's. Guard: its log then has entries of a later
-    /// term, or ends before a position that it had before the question.
+    /// A leader that was superseded may already follow another primary, or it may have restarted with
+    /// an empty log. Then its log has entries of a later term, or ends before a position that it had
+    /// reached before the request.
     pub fn note_position(
         &self,
         backend: &Rc<Backend>,
@@ -147,87 +150,93 @@
             return true;
         };
         let lost_log = self
-            .newest_mark_before(asked)
-            .is_some_and(|mark| position < mark);
+            .newest_position_before(asked)
+            .is_some_and(|newest| position < newest);
         if position.term > leader.term || lost_log {
             self.clear_leader(backend);
             return false;
         }
-        self.note(Watermark { asked, position });
+        self.note_watermark(Watermark { asked, position });
         true
     }
 
-    fn newest_mark_before(&self, asked: Moment) -> Option<Position> {
-        let newest = self.marks.borrow().newest();
+    /// The newest known position of the primary's log that was requested no later than `asked`.
+    fn newest_position_before(&self, asked: Moment) -> Option<Position> {
+        let newest = self.watermarks.borrow().newest();
         newest
-            .filter(|mark| mark.asked <= asked)
-            .map(|mark| mark.position)
+            .filter(|watermark| watermark.asked <= asked)
+            .map(|watermark| watermark.position)
     }
 
-    /// What the primary's log must go up to for a read that must see every commit.
+    /// The position that a primary's log must have reached to run a linearizable read.
     pub fn newest_position(&self) -> Option<Position> {
-        self.marks.borrow().newest_position()
+        self.watermarks.borrow().newest_position()
     }
 
-    fn note(&self, mark: Watermark) {
-        match self.lease.get().covers(mark.asked) {
-            true => self.marks.borrow_mut().note(mark),
-            false => self.unconfirmed.set(Some(mark)),
+    /// Adds a watermark if the lease covers it, or else keeps it until the lease is renewed.
+    fn note_watermark(&self, watermark: Watermark) {
+        match self.lease.get().covers(watermark.asked) {
+            true => self.watermarks.borrow_mut().note(watermark),
+            false => self.pending_watermark.set(Some(watermark)),
         }
     }
 
-    /// What a read must see that may miss what was acknowledged after `since`, and must see `own`.
+    /// The position that a server's log must have reached for a read that has to see every commit
+    /// acknowledged before `since` and the session's own writes up to `own`. `None` if no recent
+    /// enough watermark can be obtained.
     pub async fn required_position(
         self: &Rc<Self>,
         since: Moment,
         own: Option<Position>,
     ) -> Option<Position> {
         for _ in 0..2 {
-            let floor = freshness::required(since, &self.marks.borrow(), own);
+            let floor = freshness::required(since, &self.watermarks.borrow(), own);
             if floor.is_some() {
-                let halfway = clock::now().since(since) / 2;
-                let newest = self.marks.borrow().newest();
-                if newest.is_some_and(|mark| clock::now().since(mark.asked) > halfway) {
-                    self.refresh_ahead();
+                let half_bound = clock::now().since(since) / 2;
+                let newest = self.watermarks.borrow().newest();
+                if newest.is_some_and(|watermark| clock::now().since(watermark.asked) > half_bound)
+                {
+                    self.spawn_refresh();
                 }
                 return floor;
             }
-            self.refresh_ahead();
+            self.spawn_refresh();
             self.refresh.finished.notified().await;
         }
-        freshness::required(since, &self.marks.borrow(), own)
+        freshness::required(since, &self.watermarks.borrow(), own)
     }
 
-    fn refresh_ahead(self: &Rc<Self>) {
+    /// Requests a new watermark in the background.
+    fn spawn_refresh(self: &Rc<Self>) {
         if !self.refresh.try_start() {
             return;
         }
         let group = self.clone();
         tokio::task::spawn_local(async move {
-            group.ask_position().await;
+            group.request_watermark().await;
             group.refresh.finish();
         });
     }
 
-    /// Asks the primary for the end of its log, and a replica whether it still leads; all servers if that
-    /// takes too long.
-    async fn ask_position(self: &Rc<Self>) {
+    /// Requests a new watermark: from the leader, and from all servers if the leader takes too long.
+    async fn request_watermark(self: &Rc<Self>) {
         let Some(leader) = self.leader().await else {
             return;
         };
-        let survey = async {
-            tokio::time::sleep(PRIMARY_FIRST).await;
+        let search_all = async {
+            tokio::time::sleep(PRIMARY_TIMEOUT).await;
             self.find_leader().await;
         };
         tokio::select! {
             biased;
-            true = self.ask_primary(&leader) => {}
-            () = survey => {}
+            true = self.request_from_leader(&leader) => {}
+            () = search_all => {}
         }
     }
 
-    /// Asks the primary for the end of its log; whether it said so.
-    async fn ask_primary(self: &Rc<Self>, leader: &Leader) -> bool {
+    /// Requests the end of the leader's log and polls the replicas if the lease has to be renewed.
+    /// Returns whether the leader answered as a primary of the same term.
+    async fn request_from_leader(self: &Rc<Self>, leader: &Leader) -> bool {
         let asked = clock::now();
         let (status, _) = tokio::join!(leader.backend.status(), self.confirm_leader(asked));
         match status {
@@ -244,16 +253,19 @@
         false
     }
 
-    /// Notes what the answers of a search prove.
-    pub(super) fn note_survey(&self, asked: Moment, statuses: &[(Rc<Backend>, Status)]) {
-        let counting = statuses.iter().filter(|(backend, _)| backend.counted.get());
-        let received: Vec<Position> = counting.map(|(_, status)| status.received).collect();
-        let Some(counted) = self.counted.borrow().as_ref().map(Vec::len) else {
+    /// Adds the watermark that the answers of a search prove without the primary, if enough servers
+    /// that count for promotions answered.
+    pub(super) fn note_quorum_watermark(&self, asked: Moment, statuses: &[(Rc<Backend>, Status)]) {
+        let from_voters = statuses.iter().filter(|(backend, _)| backend.counted.get());
+        let received: Vec<Position> = from_voters.map(|(_, status)| status.received).collect();
+        let Some(voter_count) = self.voters.borrow().as_ref().map(Vec::len) else {
             return;
         };
         let sync_replicas = self.sync_replicas.get();
-        if let Some(mark) = freshness::quorum_watermark(asked, &received, counted, sync_replicas) {
-            self.marks.borrow_mut().note(mark);
+        if let Some(watermark) =
+            freshness::quorum_watermark(asked, &received, voter_count, sync_replicas)
+        {
+            self.watermarks.borrow_mut().note(watermark);
         }
     }
 }
--- a/crates/proxy/src/line/group/search.rs
+++ b/crates/proxy/src/line/group/search.rs
@@ -1,4 +1,4 @@
-//! Asks a group's servers which of them leads.
+//! Finds the leader of a group by requesting the statuses of all its servers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,42 +11,43 @@
 
 use crate::line::{backend::Backend, clock, journal};
 
-/// The least time between two searches for the primary.
-const SEARCH_GAP: Duration = Duration::from_millis(150);
+/// The least time between two searches.
+const MIN_SEARCH_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long a search waits for the next of several answers: longer than a status may take.
-const STATUS_LIMIT: Duration = Duration::from_millis(500);
+/// The timeout for each answer but the last, longer than that of a status request.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a search waits for the last answer: a status behind a queue of usual length.
-const LAST_STATUS: Duration = Duration::from_millis(100);
+/// The timeout for the last answer. Covers a status request in a queue of typical length.
+const LAST_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Group {
-    /// Asks all servers which of them leads, at most every [`SEARCH_GAP`].
+    /// Searches for the leader, at most once per [`MIN_SEARCH_INTERVAL`], and waits for the result.
     pub async fn find_leader(self: &Rc<Self>) {
-        self.search_ahead();
+        self.spawn_search();
         self.search.finished.notified().await;
     }
 
-    pub(super) fn search_ahead(self: &Rc<Self>) {
+    /// Starts a search in the background unless one is running.
+    pub(super) fn spawn_search(self: &Rc<Self>) {
         if !self.search.try_start() {
             return;
         }
         let group = self.clone();
         tokio::task::spawn_local(async move {
-            let wait = clock::now().until(group.searched.get() + SEARCH_GAP);
-            tokio::time::sleep(wait).await;
+            let delay = clock::now().until(group.last_search.get() + MIN_SEARCH_INTERVAL);
+            tokio::time::sleep(delay).await;
             let asked = clock::now();
-            let statuses = group.statuses().await;
-            group.searched.set(clock::now());
-            group.adopt(&statuses);
-            group.note_survey(asked, &statuses);
+            let statuses = group.request_statuses().await;
+            group.last_search.set(clock::now());
+            group.apply_statuses(&statuses);
+            group.note_quorum_watermark(asked, &statuses);
             group.search.finish();
         });
     }
 
-    /// The statuses of all servers that answer. The last one is not waited for long: it is the one
-    /// that the search is about, or one that is out of reach.
-    async fn statuses(&self) -> Vec<(Rc<Backend>, Status)> {
+    /// The statuses of all servers that answer. The timeout for the last one is short: it is likely the
+    /// unreachable server because of which the search was started.
+    async fn request_statuses(&self) -> Vec<(Rc<Backend>, Status)> {
         let servers = self.servers();
         let all_but_one = servers.len().saturating_sub(1);
         let ask = |backend: Rc<Backend>| async move {
@@ -56,25 +57,25 @@
         let mut asked: FuturesUnordered<_> = servers.into_iter().map(ask).collect();
         let mut found = Vec::new();
         loop {
-            let patience = match found.len() >= all_but_one {
-                true => LAST_STATUS,
-                false => STATUS_LIMIT,
+            let answer_timeout = match found.len() >= all_but_one {
+                true => LAST_ANSWER_TIMEOUT,
+                false => ANSWER_TIMEOUT,
             };
-            match timeout(patience, asked.next()).await {
+            match timeout(answer_timeout, asked.next()).await {
                 Ok(Some((backend, Ok(status)))) => found.push((backend, status)),
-                // Its reason was noted where it was asked.
+                // `Backend::status` has already handled the error.
                 Ok(Some((_, Err(_)))) => {}
                 Ok(None) | Err(_) => return found,
             }
         }
     }
 
-    /// Takes the known primary's own word that it does not lead.
+    /// Forgets the leader if it reports that it is a replica.
     ///
-    /// Failure: it has stepped down and nobody is promoted yet, so none has a higher term; it stays the
-    /// known primary, a replica that was not held renews its lease, and reads there miss what its
-    /// successor acknowledges. Guard: whoever says that it is a replica is none.
-    fn depose_deniers(&self, statuses: &[(Rc<Backend>, Status)]) {
+    /// After it has stepped down, no server has a higher term until another one is promoted. If it
+    /// remained the known leader, a replica that was not held could renew its lease, and reads on it
+    /// would miss the commits of its successor.
+    fn clear_demoted_leader(&self, statuses: &[(Rc<Backend>, Status)]) {
         for (backend, status) in statuses {
             if status.role != Role::Primary {
                 self.clear_leader(backend);
@@ -82,12 +83,13 @@
         }
     }
 
-    fn adopt(&self, statuses: &[(Rc<Backend>, Status)]) {
+    /// Makes the primary with the highest term the known leader, unless the leader's term is as high.
+    fn apply_statuses(&self, statuses: &[(Rc<Backend>, Status)]) {
         let best = statuses
             .iter()
             .filter(|(_, status)| status.role == Role::Primary)
             .max_by_key(|(_, status)| status.term);
-        self.depose_deniers(statuses);
+        self.clear_demoted_leader(statuses);
         let known = self.leader.borrow().clone();
         let Some((backend, status)) = best else {
             return;
@@ -104,9 +106,9 @@
             json!({ "service": self.name, "server": backend.server.id(), "term": status.term,
                 "asked": statuses.len(), "before": known.map(|l| l.backend.server.incarnation.clone()) }),
         );
-        self.revoke();
-        self.doubted.set(false);
-        self.marks
+        self.revoke_lease();
+        self.leader_suspect.set(false);
+        self.watermarks
             .borrow_mut()
             .note_leader_position(status.received);
         *self.leader.borrow_mut() = Some(Leader {
