--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line.rs
@@ -64,15 +64,15 @@
     let (publish, view) = watch::channel(Arc::new(View::default()));
     let metrics = Metrics::default();
     let stop = stop::Stop::new(line.grace);
-    let (isolation, isolated) = watch::channel(Isolation::default());
+    let (publish_isolation, isolation) = watch::channel(Isolation::default());
     let (records, responder) = records::channel();
     let mirror = mirror::Handle::default();
     let endpoint = operator::Context {
         id: config.id.clone(),
         dc: config.dc.clone(),
         view: view.clone(),
-        isolated: isolated.clone(),
-        stopping: stop.token(),
+        isolation: isolation.clone(),
+        stopping: stop.shutdown_token(),
         metrics: metrics.clone(),
         mirror: mirror.clone(),
     };
@@ -97,13 +97,13 @@
         peers: peers::Peers::default(),
         metrics,
         stop: stop.clone(),
-        isolated,
+        isolation,
         failure_signal: failure_signal.clone(),
         records,
         mirror,
         open_count: Rc::default(),
     });
-    let isolation_check = isolation::run(shared.clone(), failure_signal, isolation);
+    let isolation_check = isolation::run(shared.clone(), failure_signal, publish_isolation);
     tokio::task::spawn_local(isolation_check);
     tokio::task::spawn_local(shared.clone().apply_views(view));
     tokio::task::spawn_local(stop::watch_settings(config.clone()));
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -88,7 +88,7 @@
             followed_lately: Cell::new(false),
             place,
             mirror,
-            followed: responder.synced_until,
+            followed: responder.synced_until_ms,
             publish,
         });
         run(control, responder.requests, endpoint, counters);
--- a/crates/proxy/src/line/operator.rs
+++ b/crates/proxy/src/line/operator.rs
@@ -50,7 +50,7 @@
     pub id: String,
     pub dc: String,
     pub view: watch::Receiver<Arc<View>>,
-    pub isolated: watch::Receiver<Isolation>,
+    pub isolation: watch::Receiver<Isolation>,
     pub stopping: CancellationToken,
     pub metrics: Metrics,
     pub mirror: mirror::Handle,
@@ -61,7 +61,7 @@
 #[get("/ready")]
 fn ready(context: &State<Context>) -> Status {
     let has_configuration = context.view.borrow().catalog.is_some();
-    let isolated = context.isolated.borrow().is_isolated(clock::now());
+    let isolated = context.isolation.borrow().is_isolated(clock::now());
     match has_configuration && !isolated && !context.stopping.is_cancelled() {
         true => Status::Ok,
         false => Status::ServiceUnavailable,
--- a/crates/proxy/src/line/records.rs
+++ b/crates/proxy/src/line/records.rs
@@ -22,42 +22,42 @@
 /// The traffic thread's end of the channel.
 #[derive(Clone, Debug)]
 pub struct Reader {
-    synced_until: Arc<AtomicU64>,
+    synced_until_ms: Arc<AtomicU64>,
     requests: mpsc::UnboundedSender<Request>,
 }
 
 /// The control thread's end of the channel.
 pub struct Responder {
-    pub synced_until: Arc<AtomicU64>,
+    pub synced_until_ms: Arc<AtomicU64>,
     pub requests: mpsc::UnboundedReceiver<Request>,
 }
 
 /// Creates both ends.
 pub fn channel() -> (Reader, Responder) {
-    let synced_until = Arc::new(AtomicU64::new(0));
+    let synced_until_ms = Arc::new(AtomicU64::new(0));
     let (tx, rx) = mpsc::unbounded_channel();
     let reader = Reader {
-        synced_until: synced_until.clone(),
+        synced_until_ms: synced_until_ms.clone(),
         requests: tx,
     };
     let responder = Responder {
-        synced_until,
+        synced_until_ms,
         requests: rx,
     };
     (reader, responder)
 }
 
 /// Records that every change of the store up to `moment` has been applied.
-pub fn note_synced(synced_until: &AtomicU64, moment: Moment) {
+pub fn note_synced(synced_until_ms: &AtomicU64, moment: Moment) {
     let millis = u64::try_from(moment.millis()).unwrap_or(u64::MAX);
-    synced_until.store(millis, Ordering::Relaxed);
+    synced_until_ms.store(millis, Ordering::Relaxed);
 }
 
 impl Reader {
     /// Whether the lists of servers that count for promotions are still valid in the view: the view
     /// is at most [`LIST_VALIDITY`] behind the store.
     pub fn are_current(&self, now: Moment) -> bool {
-        let synced_until = Duration::from_millis(self.synced_until.load(Ordering::Relaxed));
+        let synced_until = Duration::from_millis(self.synced_until_ms.load(Ordering::Relaxed));
         now.since(Moment::from_boot(synced_until)) < LIST_VALIDITY
     }
 
--- a/crates/proxy/src/line/shared.rs
+++ b/crates/proxy/src/line/shared.rs
@@ -39,7 +39,7 @@
     pub peers: Peers,
     pub metrics: Metrics,
     pub stop: Stop,
-    pub isolated: watch::Receiver<Isolation>,
+    pub isolation: watch::Receiver<Isolation>,
     pub failure_signal: FailureSignal,
     pub records: Reader,
     /// The copy of the store's content, from which other proxies are served.
@@ -72,16 +72,16 @@
 
     /// Returns when idle sessions should be closed because this data centre is partitioned.
     pub async fn wait_for_isolation_close(&self) {
-        let mut isolated = self.isolated.clone();
+        let mut isolation = self.isolation.clone();
         loop {
-            if isolated
+            if isolation
                 .borrow_and_update()
                 .should_close_sessions(clock::now())
             {
                 return;
             }
             // The isolation check reports each round as a change, so this is checked in time.
-            if isolated.changed().await.is_err() {
+            if isolation.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
         }
--- a/crates/proxy/src/line/stop.rs
+++ b/crates/proxy/src/line/stop.rs
@@ -52,7 +52,7 @@
     }
 
     /// The token that is cancelled when the shutdown starts.
-    pub fn token(&self) -> CancellationToken {
+    pub fn shutdown_token(&self) -> CancellationToken {
         self.started.clone()
     }
 
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -307,7 +307,7 @@
             execution: execution.as_ref(),
             route: &route,
             arrived,
-            isolated: self.shared.isolated.borrow().is_isolated(arrived),
+            isolated: self.shared.isolation.borrow().is_isolated(arrived),
         };
         let alone = self.state.phase() == Phase::Idle;
         if let Some(peers) = self.peers(&route) {
--- a/crates/proxy/src/line/traffic/session/reply.rs
+++ b/crates/proxy/src/line/traffic/session/reply.rs
@@ -71,7 +71,7 @@
 
     /// Answers another proxy that asks what changed in the store. A process that stops sends it elsewhere.
     pub(super) async fn tell_changes(&mut self, line: &[u8]) -> bool {
-        if self.shared.stop.token().is_cancelled() {
+        if self.shared.stop.shutdown_token().is_cancelled() {
             return false;
         }
         let stand = self.stand();
