--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -51,6 +51,7 @@
     lease: Cell<Lease>,
     sync_replicas: Cell<usize>,
     owned: Cell<bool>,
+    /// Whether this proxy has read its own registration from the store.
     is_announced: Cell<bool>,
     /// Whether changed registrations call for a search for the leader.
     search_due: Cell<bool>,
--- a/crates/proxy/src/line/group/durability.rs
+++ b/crates/proxy/src/line/group/durability.rs
@@ -158,8 +158,8 @@
         followers
     }
 
-    /// Applies a replica's status to the leader's lease as well. `followers` is the number of replicas
-    /// asked at `asked` that follow the leader, including this one if it does. Returns whether it does.
+    /// Applies a replica's status to the leader's lease, and returns whether the replica follows the
+    /// leader. If so, it is the `followers`th follower among the replicas asked at `asked`.
     fn note_status(
         &self,
         replica: &Rc<Backend>,
--- a/crates/proxy/src/line/group/search.rs
+++ b/crates/proxy/src/line/group/search.rs
@@ -21,7 +21,7 @@
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Group {
-    /// Searches for the leader, at most once per [`MIN_SEARCH_INTERVAL`], and waits for the result.
+    /// Searches for the leader, at most once per `MIN_SEARCH_INTERVAL`, and waits for the result.
     pub async fn find_leader(self: &Rc<Self>) {
         self.spawn_search();
         self.search.finished.notified().await;
@@ -45,8 +45,8 @@
         });
     }
 
-    /// The statuses of all servers that answer. The timeout for the last one is short: it is likely the
-    /// unreachable server because of which the search was started.
+    /// Requests the statuses of all servers, and returns those that arrive in time. The timeout for the
+    /// last one is short, as a server that does not answer is often the reason for the search.
     async fn request_statuses(&self) -> Vec<(Rc<Backend>, Status)> {
         let servers = self.servers();
         let all_but_one = servers.len().saturating_sub(1);
@@ -54,14 +54,14 @@
             let status = backend.status().await;
             (backend, status)
         };
-        let mut asked: FuturesUnordered<_> = servers.into_iter().map(ask).collect();
+        let mut answers: FuturesUnordered<_> = servers.into_iter().map(ask).collect();
         let mut found = Vec::new();
         loop {
             let answer_timeout = match found.len() >= all_but_one {
                 true => LAST_ANSWER_TIMEOUT,
                 false => ANSWER_TIMEOUT,
             };
-            match timeout(answer_timeout, asked.next()).await {
+            match timeout(answer_timeout, answers.next()).await {
                 Ok(Some((backend, Ok(status)))) => found.push((backend, status)),
                 // `Backend::status` has already handled the error.
                 Ok(Some((_, Err(_)))) => {}
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Makes the primary with the highest term the known leader, unless the leader's term is as high.
+    /// Makes the primary with the highest term the known leader, if its term is higher than that of the
+    /// leader known before.
     fn apply_statuses(&self, statuses: &[(Rc<Backend>, Status)]) {
         let best = statuses
             .iter()
--- a/crates/proxy/src/line/journal.rs
+++ b/crates/proxy/src/line/journal.rs
@@ -150,7 +150,7 @@
     write("trouble", json!({ "what": what, "why": why }));
 }
 
-/// Waits [`FLUSH_WAIT`] for the writer thread before the process exits.
+/// Gives the writer thread a short time to write queued lines before the process exits.
 pub fn flush() {
     std::thread::sleep(FLUSH_WAIT);
 }
--- a/crates/proxy/src/line/mirror.rs
+++ b/crates/proxy/src/line/mirror.rs
@@ -68,7 +68,7 @@
     /// How often the store was restored from a backup, and the revision reached since then.
     pub era: u64,
     pub revision: u64,
-    /// The staleness bound: all older changes have been applied.
+    /// How stale the mirror may be: every change older than this has been applied.
     pub age_ms: u64,
 }
 
--- a/crates/proxy/src/line/shared.rs
+++ b/crates/proxy/src/line/shared.rs
@@ -131,7 +131,7 @@
         self.view.borrow().catalog.clone()
     }
 
-    /// The group with this name, created if none of its servers is known yet.
+    /// The group with this name, created if it is not known yet.
     pub fn group(&self, name: &str) -> Rc<Group> {
         let mut groups = self.groups.borrow_mut();
         groups
--- a/crates/proxy/src/line/stop.rs
+++ b/crates/proxy/src/line/stop.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct Stop {
     grace: Duration,
-    /// Cancelled on SIGTERM, from when on the process reports not ready.
+    /// Cancelled when the shutdown starts. The process then reports not ready.
     started: CancellationToken,
     /// Cancelled when idle sessions are to end.
     idle_end: CancellationToken,
