--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -28,8 +28,9 @@
 use crate::{
     line::{
         backend::pool::{Pool, Rank, Request},
-        clock, life,
-        reach::{self, Suspicion},
+        clock,
+        reachability::{self, FailureSignal},
+        restart,
     },
     metrics::Metrics,
 };
@@ -84,14 +85,24 @@
     is_down: Cell<bool>,
     /// When the last successful probe of its VM started.
     last_reached: Cell<Moment>,
-    suspicion: Suspicion,
+    failure_signal: FailureSignal,
 }
 
 impl Backend {
     /// Creates a server with a pool of at most `limit` connections.
-    pub fn new(entry: &Entry, limit: usize, suspicion: Suspicion, metrics: Metrics) -> Rc<Self> {
+    pub fn new(
+        entry: &Entry,
+        limit: usize,
+        failure_signal: FailureSignal,
+        metrics: Metrics,
+    ) -> Rc<Self> {
         let pool = Pool::new(entry.server.clone(), limit, CONNECT_TIMEOUT, metrics);
-        Self::with_pool(entry, pool, (PROBE_TIMEOUT, MAX_PROBE_DELAY), suspicion)
+        Self::with_pool(
+            entry,
+            pool,
+            (PROBE_TIMEOUT, MAX_PROBE_DELAY),
+            failure_signal,
+        )
     }
 
     /// Creates another proxy, to which statements are forwarded over a pool of at most `limit`
@@ -103,7 +114,7 @@
             entry,
             pool,
             (PEER_CONNECT_TIMEOUT, PEER_MAX_PROBE_DELAY),
-            Suspicion::default(),
+            FailureSignal::default(),
         )
     }
 
@@ -111,7 +122,7 @@
         entry: &Entry,
         pool: Rc<Pool>,
         (probe_timeout, max_probe_delay): (Duration, Duration),
-        suspicion: Suspicion,
+        failure_signal: FailureSignal,
     ) -> Rc<Self> {
         Rc::new(Self {
             probe_timeout,
@@ -125,7 +136,7 @@
             latency: Cell::new(Mean::new(INITIAL_LATENCY)),
             avoid_until: Cell::default(),
             last_reached: Cell::default(),
-            suspicion,
+            failure_signal,
         })
     }
 
@@ -182,7 +193,7 @@
         if asked.since(self.last_reached.get()) < PROBE_VALIDITY {
             return true;
         }
-        let reached = reach::connects(self.server.address, self.probe_timeout).await;
+        let reached = reachability::can_connect(self.server.address, self.probe_timeout).await;
         match reached {
             true => self.last_reached.set(asked),
             false => self.note_unreachable(),
@@ -225,7 +236,7 @@
     async fn probe_until_up(self: Rc<Self>) {
         let mut backoff = MIN_PROBE_BACKOFF;
         while !self.pool.is_closed() {
-            if reach::connects(self.server.address, self.probe_timeout).await {
+            if reachability::can_connect(self.server.address, self.probe_timeout).await {
                 break;
             }
             tokio::time::sleep(backoff).await;
@@ -239,7 +250,7 @@
     /// centre is partitioned.
     pub fn note_unreachable(&self) {
         self.avoid();
-        self.suspicion.notify_one();
+        self.failure_signal.notify_one();
     }
 
     /// Avoids the server for a while, as it did not answer, and closes its idle connections.
@@ -295,7 +306,7 @@
             // Called for its side effects. A reachable server may just be busy and is not avoided.
             self.is_reachable().await;
         }
-        life::admit(
+        restart::check_status(
             &self.restart_detector,
             &self.server.incarnation,
             status?,
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -160,7 +160,7 @@
     fn apply(&self, source: &Source, update: &Update<Value>, known_until: Moment) -> bool {
         let control = &self.control;
         let before = control.mirror.revision();
-        if !control.mirror.take(source, update, known_until) {
+        if !control.mirror.apply(source, update, known_until) {
             return false;
         }
         let restored = before != 0 && era::of(before) < era::of(update.revision);
@@ -196,7 +196,7 @@
         let known_until = control.mirror.known_until();
         control.expire(known_until);
         control.registry.borrow_mut().note_synced(known_until);
-        records::note_followed(&control.synced_until_ms, known_until);
+        records::note_synced(&control.synced_until_ms, known_until);
         if self.source.as_ref() != Some(source) {
             journal::write("source", json!({ "of_changes": format!("{source:?}") }));
             self.source = Some(source.clone());
@@ -219,7 +219,7 @@
         }
         if self.source.as_ref() == Some(source) {
             self.source = None;
-            control.mirror.lost();
+            control.mirror.note_source_lost();
             journal::dependency("source", "lost", &format!("{source:?}: {error}"));
         }
         let next = self.choose_source();
--- a/crates/proxy/src/line/control/probe.rs
+++ b/crates/proxy/src/line/control/probe.rs
@@ -19,7 +19,7 @@
     Error,
 };
 
-use crate::line::{clock, life, reach};
+use crate::line::{clock, reachability, restart};
 
 /// How long a request may be unanswered before a connection attempt checks whether the VM is
 /// reachable. A status request is queued behind earlier statements.
@@ -164,7 +164,7 @@
     /// A server under full load answers late, but a failover would not help and would interrupt writes.
     /// So a late answer alone counts as a loss only after [`UNRESPONSIVE_AFTER`].
     async fn accepts_connections(&self) -> bool {
-        reach::connects(self.server.address, CONNECT_TIMEOUT).await
+        reachability::can_connect(self.server.address, CONNECT_TIMEOUT).await
     }
 
     /// Whether the server answered, or the probe was created, less than [`UNRESPONSIVE_AFTER`] before
@@ -182,7 +182,7 @@
     pub async fn send(&self, command: Command, timeout: Duration) -> Result<Status, Error> {
         let asked = clock::now();
         let status = self.exchange(command, timeout).await?;
-        life::admit(&self.detector, &self.server.incarnation, status, asked)
+        restart::check_status(&self.detector, &self.server.incarnation, status, asked)
     }
 
     async fn exchange(&self, command: Command, timeout: Duration) -> Result<Status, Error> {
--- a/crates/proxy/src/line/control/relay.rs
+++ b/crates/proxy/src/line/control/relay.rs
@@ -55,6 +55,6 @@
         };
         let answer = link.query(Query::Follow(request)).await?;
         self.link = Some(link);
-        Response::read(&answer.result?.rows, |key| mirror.present(key))
+        Response::read(&answer.result?.rows, |key| mirror.current(key))
     }
 }
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -26,7 +26,7 @@
         journal,
         mirror::Handle,
         operator,
-        records::{Desk, Inquiry},
+        records::{Request, Responder},
         view::View,
     },
 };
@@ -34,7 +34,7 @@
 /// What the control thread shares with the traffic thread.
 pub struct Channels {
     pub publish: watch::Sender<Arc<View>>,
-    pub desk: Desk,
+    pub responder: Responder,
     pub mirror: Handle,
 }
 
@@ -50,7 +50,7 @@
     let started_at = clock::now();
     let Channels {
         publish,
-        desk,
+        responder,
         mirror,
     } = channels;
     let store = Store::new(&config.kv)?;
@@ -88,10 +88,10 @@
             is_following: Cell::new(false),
             subscription,
             mirror,
-            synced_until_ms: desk.followed,
+            synced_until_ms: responder.synced_until_ms,
             publish,
         });
-        run(control, desk.inquiries, endpoint, metrics_endpoint);
+        run(control, responder.requests, endpoint, metrics_endpoint);
     };
     std::thread::Builder::new()
         .name("control".to_owned())
@@ -104,7 +104,7 @@
 
 fn run(
     control: Rc<Control>,
-    inquiries: mpsc::UnboundedReceiver<Inquiry>,
+    inquiries: mpsc::UnboundedReceiver<Request>,
     endpoint: Endpoint,
     metrics_endpoint: Option<Endpoint>,
 ) {
--- a/crates/proxy/src/line/traffic/autocommit.rs
+++ b/crates/proxy/src/line/traffic/autocommit.rs
@@ -48,14 +48,17 @@
         let (servers, after) = match call.route.consistency {
             Consistency::Latest => {
                 let leader = confirmed_leader(group, call).await?;
-                (leader, group.reached())
+                (leader, group.newest_position())
             }
             Consistency::Bounded(_) | Consistency::Session(_) => {
                 let own = session.floor();
-                let Some(floor) = group.floor(call.freshness_bound(call.arrived), own).await else {
+                let Some(floor) = group
+                    .required_position(call.freshness_bound(call.arrived), own)
+                    .await
+                else {
                     return Err(call.busy("required log position is unknown", RETRY_AFTER));
                 };
-                (group.order(clock::now()), Some(floor))
+                (group.read_candidates(clock::now()), Some(floor))
             }
         };
         for backend in servers {
@@ -148,7 +151,7 @@
             Some(leader) => leader,
             None => return Err(call.busy("no primary is known", RETRY_AFTER)),
         };
-        if group.confirm(call.arrived).await && group.led_by(&leader.backend) {
+        if group.confirm_leader(call.arrived).await && group.is_leader(&leader.backend) {
             return Ok(vec![leader.backend]);
         }
         // Replicas may be held for a promotion, which usually completes within the remaining time.
@@ -203,7 +206,7 @@
         return Err(Failure::NotRun(call.busy(why, RETRY_PAUSE)));
     }
     if answer.result.is_ok() {
-        group.metrics.read(match group.led_by(backend) {
+        group.metrics.read(match group.is_leader(backend) {
             true => Target::Primary,
             false => Target::Replica,
         });
@@ -215,7 +218,7 @@
                 // A primary that is behind its own earlier position has restarted with an empty log.
                 let lost_log = latest && refusal.code == Code::Lagging;
                 if lost_log || refusal.code == Code::ReadOnly {
-                    group.depose(backend);
+                    group.clear_leader(backend);
                 }
                 Failure::NotRun(refusal)
             }
@@ -235,7 +238,7 @@
     match tokio::time::timeout(MIN_OVERDUE_AFTER.max(backend.latency() * 4), &mut sent).await {
         Ok(answer) => answer,
         Err(_) => {
-            group.doubt(backend);
+            group.note_slow_write(backend);
             sent.await
         }
     }
@@ -248,10 +251,10 @@
     call: &Call<'_>,
 ) -> Result<Success, Refusal> {
     // In a partition the primary may be separated from its replicas, and would never answer a write.
-    if (call.isolated || group.doubted()) && !group.confirm(call.arrived).await {
+    if (call.isolated || group.is_leader_suspect()) && !group.confirm_leader(call.arrived).await {
         return Err(call.primary_unconfirmed());
     }
-    if !group.can_confirm() {
+    if !group.can_confirm_commits() {
         return Err(call.primary_unconfirmed());
     }
     let mut last = call.busy("no primary is known", RETRY_AFTER);
@@ -278,7 +281,7 @@
             Err(why) => {
                 note_failure(group, backend, call, &why);
                 if backend.is_avoided(clock::now()) {
-                    group.depose(backend);
+                    group.clear_leader(backend);
                 }
                 let why = format!("outcome unknown: {why}");
                 return Err(Refusal::new(Code::Unknown, why));
@@ -289,9 +292,12 @@
         backend.record_latency(clock::now().since(asked));
         match answer.result {
             Ok(success) => {
-                group.trust(backend);
+                group.note_write_answered(backend);
                 let (term, left) = (leader.term, call.remaining());
-                if !group.is_kept(backend, term, answer.position, left).await {
+                if !group
+                    .wait_until_durable(backend, term, answer.position, left)
+                    .await
+                {
                     return Err(call.commit_unconfirmed(group, backend));
                 }
                 session.committed(answer.position);
@@ -300,7 +306,7 @@
             Err(refusal) if refusal.code.guarantees_not_run() => {
                 note_failure(group, backend, call, &refusal.to_string());
                 if refusal.code == Code::ReadOnly {
-                    group.depose(backend);
+                    group.clear_leader(backend);
                 }
                 last = refusal;
                 tokio::time::sleep(RETRY_PAUSE).await;
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -47,7 +47,7 @@
         .map_err(|error| {
             if error == Error::Unreachable {
                 backend.note_unreachable();
-                group.depose(backend);
+                group.clear_leader(backend);
             }
             pool_failure(call, error)
         })?
@@ -64,7 +64,7 @@
         .await
         .map_err(|error| {
             match error {
-                Error::Unreachable => peers.lose(peer),
+                Error::Unreachable => peers.note_failure(peer),
                 Error::TooManyConnections | Error::Refused { .. } => peer.avoid(),
             }
             pool_failure(call, error)
--- a/crates/proxy/src/line/traffic/feed.rs
+++ b/crates/proxy/src/line/traffic/feed.rs
@@ -40,7 +40,7 @@
     request: Request,
     out: &mut Vec<u8>,
 ) -> Result<bool, Error> {
-    let Some(response) = mirror.answer(request).await else {
+    let Some(response) = mirror.respond(request).await else {
         return Ok(false);
     };
     response.write(out, |key| mirror.delta(key, request.after))?;
--- a/crates/proxy/src/line/traffic/forwarding.rs
+++ b/crates/proxy/src/line/traffic/forwarding.rs
@@ -63,7 +63,7 @@
                 // connections to servers that would show it, so it requests a check, or else the
                 // load balancer would keep sending callers here.
                 if refusal.code.guarantees_not_run() {
-                    shared.suspicion.notify_one();
+                    shared.failure_signal.notify_one();
                 }
                 if !forwarding::may_retry(refusal.code, attempts, call.waited(), call.route.target)
                 {
@@ -92,7 +92,7 @@
         exchange(checkout, peer, call, Condition::Forwarded(&requirements)).await;
     let answer = answer.map_err(|why| {
         note_failed_attempt(&shared.metrics, peer, call, &why);
-        shared.peers.lose(peer);
+        shared.peers.note_failure(peer);
         Failure::NoAnswer(why)
     })?;
     release_if_idle(checkout, &answer);
@@ -163,7 +163,7 @@
         (answer, _) => {
             let why = answer.err().unwrap_or_default();
             note_failed_attempt(&shared.metrics, &backend, call, &why);
-            shared.peers.lose(&backend);
+            shared.peers.note_failure(&backend);
             fail_transaction(session, call);
             return Err(refusal_without_answer(call.effect, wrote, &why));
         }
@@ -196,7 +196,7 @@
                 &refusal.to_string(),
             );
             if refusal.code.guarantees_not_run() {
-                shared.suspicion.notify_one();
+                shared.failure_signal.notify_one();
             }
             match answer.state {
                 State::Idle => current.checkout.release(),
@@ -245,7 +245,7 @@
             Err(_) => "no answer in time".to_owned(),
         };
         note_failed_attempt(&shared.metrics, peer, call, &why);
-        shared.peers.lose(peer);
+        shared.peers.note_failure(peer);
     }
     None
 }
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -56,8 +56,8 @@
         }
         // A graceful shutdown waits for other proxies' statements, but not for their connections.
         let count = usize::from(origin == Origin::Caller);
-        shared.open.set(shared.open.get() + count);
-        let open = shared.open.clone();
+        shared.open_count.set(shared.open_count.get() + count);
+        let open = shared.open_count.clone();
         let (reader, writer) = stream.into_split();
         let session = Session {
             origin,
@@ -185,8 +185,8 @@
                 Some(line) => Event::Line(line, clock::now()),
                 None => Event::Disconnected,
             },
-            () = stop.sessions_end(idle), if closes_when_idle || !idle => Event::Close,
-            () = shared.released(), if idle && closes_when_idle => Event::Close,
+            () = stop.wait_for_session_end(idle), if closes_when_idle || !idle => Event::Close,
+            () = shared.wait_for_isolation_close(), if idle && closes_when_idle => Event::Close,
             () = tokio::time::sleep(timeout), if self.pinned.is_some() => Event::TimedOut,
         }
     }
@@ -255,7 +255,7 @@
                 text,
                 statement,
             } => {
-                let in_flight = InFlight::new(&self.shared.open, self.origin);
+                let in_flight = InFlight::new(&self.shared.open_count, self.origin);
                 let result = self
                     .execute(id, text, &statement, requirements, arrived)
                     .await;
@@ -304,7 +304,7 @@
             execution: execution.as_ref(),
             route: &route,
             arrived,
-            isolated: self.shared.isolated.borrow().is_isolated(arrived),
+            isolated: self.shared.isolation.borrow().is_isolated(arrived),
         };
         let idle = self.state.phase() == Phase::Idle;
         if let Some(peers) = self.forwarding_targets(&route) {
@@ -328,7 +328,7 @@
     fn forwarding_targets(&self, route: &Route) -> Option<Vec<Rc<Backend>>> {
         match (&self.pinned, self.origin) {
             (Some(pinned), _) if pinned.endpoint == Endpoint::Peer => Some(Vec::new()),
-            (None, Origin::Caller) => self.shared.peers.of(&route.service),
+            (None, Origin::Caller) => self.shared.peers.forwarding_targets(&route.service),
             _ => None,
         }
     }
--- a/crates/proxy/src/line/traffic/session/reply.rs
+++ b/crates/proxy/src/line/traffic/session/reply.rs
@@ -73,7 +73,7 @@
     /// Answers a request for changes of the store. Returns `false` during a graceful shutdown, so that
     /// the other proxy uses another source.
     pub(super) async fn answer_feed(&mut self, line: &[u8]) -> bool {
-        if self.shared.stop.token().is_cancelled() {
+        if self.shared.stop.shutdown_token().is_cancelled() {
             return false;
         }
         let ready = self.ready();
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -98,7 +98,7 @@
     for attempt in 1.. {
         let commits = call.effect == Effect::Commit && wrote;
         let term = current.term();
-        if commits && (term.is_none() || !group.can_confirm()) {
+        if commits && (term.is_none() || !group.can_confirm_commits()) {
             current.roll_back();
             fail_transaction(session, call);
             let why = "rolled back: no replica could confirm the commit";
@@ -142,9 +142,12 @@
                             current.checkout.release();
                         }
                         if wrote {
-                            group.trust(&backend);
+                            group.note_write_answered(&backend);
                             let (term, left) = (term.unwrap_or_default(), call.remaining());
-                            if !group.is_kept(&backend, term, answer.position, left).await {
+                            if !group
+                                .wait_until_durable(&backend, term, answer.position, left)
+                                .await
+                            {
                                 return Err(call.commit_unconfirmed(group, &backend));
                             }
                             session.committed(answer.position);
@@ -163,7 +166,7 @@
             continue;
         }
         if refusal.code == Code::ReadOnly {
-            group.depose(&current.backend);
+            group.clear_leader(&current.backend);
         }
         current.roll_back();
         fail_transaction(session, call);
@@ -211,17 +214,19 @@
 ) -> Result<Pinned, Refusal> {
     let mut last = call.busy("no server is available for the transaction", RETRY_PAUSE);
     let mut obstacle = Obstacle::NoServer;
-    let needs_confirmation = call.isolated || group.doubted();
-    if needs_confirmation && !transaction.read_only && !group.confirm(transaction.started_at).await
+    let needs_confirmation = call.isolated || group.is_leader_suspect();
+    if needs_confirmation
+        && !transaction.read_only
+        && !group.confirm_leader(transaction.started_at).await
     {
         return Err(call.primary_unconfirmed());
     }
     loop {
         let after = match call.route.consistency {
-            Consistency::Latest => group.reached(),
+            Consistency::Latest => group.newest_position(),
             Consistency::Bounded(_) | Consistency::Session(_) => {
                 let since = call.freshness_bound(transaction.started_at);
-                match group.floor(since, session.floor()).await {
+                match group.required_position(since, session.floor()).await {
                     Some(floor) => Some(floor),
                     None => return Err(call.busy("required log position is unknown", RETRY_PAUSE)),
                 }
@@ -230,7 +235,7 @@
         let latest = call.route.consistency == Consistency::Latest;
         let servers = match (latest, transaction.read_only) {
             (true, _) => autocommit::confirmed_leader(group, call).await?,
-            (false, true) => group.order(clock::now()),
+            (false, true) => group.read_candidates(clock::now()),
             (false, false) => match autocommit::wait_for_leader(group, call).await {
                 Some(leader) => vec![leader.backend],
                 None => return Err(call.busy("no primary is known", RETRY_PAUSE)),
@@ -270,7 +275,7 @@
                             last = call.busy("the server is no longer the primary", RETRY_PAUSE);
                         }
                         Ok(_) if answer.state == State::Open => {
-                            let term = group.term_of(&backend);
+                            let term = group.leader_term(&backend);
                             let endpoint = Endpoint::Server { term };
                             return Ok(Pinned {
                                 checkout,
@@ -283,7 +288,7 @@
                             note_failure(group, &backend, call, &refusal.to_string());
                             let lost_log = latest && refusal.code == Code::Lagging;
                             if lost_log || refusal.code == Code::ReadOnly {
-                                group.depose(&backend);
+                                group.clear_leader(&backend);
                             }
                             if answer.state == State::Idle {
                                 checkout.release();
