--- a/crates/engine/benches/fleet.rs
+++ b/crates/engine/benches/fleet.rs
@@ -1,5 +1,5 @@
-//! What one change of the fleet costs a proxy at the size to design for (`docs/CAPACITY.md`). Fails past
-//! its regression bounds, which follow from the share of a core that control may take.
+//! Measures what one change of the list of proxies costs a proxy in a deployment of the design size
+//! (`docs/CAPACITY.md`), and fails if that exceeds the CPU or memory budget of control tasks.
 //!
 //! Run with `cargo bench -p dandelionpitch-engine`.
 
@@ -17,19 +17,18 @@
 const PROXIES: usize = 3_400;
 const DCS: usize = 15;
 const GROUPS: usize = 4_000;
-/// How many changes a follower is told at once.
-const TOLD: usize = 10;
-/// The proxy that computes.
-const OWN: &str = "proxy-0100";
-const DC: &str = "dc-10";
+/// The number of store changes sent to a follower at once.
+const BATCH: usize = 10;
+/// The proxy whose costs are measured.
+const OWN_ID: &str = "proxy-0100";
+const OWN_DC: &str = "dc-10";
 
-/// The part of a core that control may take.
-const SHARE: f64 = 0.029;
-/// Proxies that fail, are restarted or replaced in a day; each goes and comes.
-const CHANGES_A_DAY: f64 = 2.0 * (33.0 + 820.0);
-const SECONDS_A_DAY: f64 = 86_400.0;
-/// The memory that control may take, in KB.
-const MEMORY_KB: f64 = 32.0 * 1_024.0;
+/// The fraction of a core that control tasks may use.
+const MAX_CPU_FRACTION: f64 = 0.029;
+/// Proxies that fail, restart or are replaced per day; each is removed and added once.
+const CHANGES_PER_DAY: f64 = 2.0 * (33.0 + 820.0);
+const SECONDS_PER_DAY: f64 = 86_400.0;
+const MAX_MEMORY_KB: f64 = 32.0 * 1_024.0;
 
 fn fleet() -> Vec<Peer> {
     let mut peers: Vec<Peer> = (0..PROXIES)
@@ -44,7 +43,7 @@
     peers
 }
 
-/// The store's content as a proxy keeps it: an entry of 200 bytes for each proxy and server.
+/// A mirror of the store's content, with an entry of 200 bytes for each proxy and server.
 fn mirror() -> Mirror<Vec<u8>> {
     let change = |index: usize| {
         Change::Written(Item {
@@ -55,7 +54,7 @@
     };
     let entries = PROXIES + 3 * GROUPS;
     let mut mirror = Mirror::default();
-    for (is_snapshot, known) in [(true, 0..entries), (false, entries..entries + TOLD)] {
+    for (is_snapshot, known) in [(true, 0..entries), (false, entries..entries + BATCH)] {
         mirror.apply(&Update {
             revision: known.end as u64,
             is_snapshot,
@@ -67,8 +66,8 @@
 
 fn query(service: &str) -> Query<'_> {
     Query {
-        own: OWN,
-        dc: DC,
+        own: OWN_ID,
+        dc: OWN_DC,
         service,
     }
 }
@@ -82,26 +81,34 @@
     };
     let allocation = Allocation::new(PROXIES, DCS, limits);
     let services: Vec<String> = (0..GROUPS).map(|group| format!("g{group}")).collect();
-    let rank = |service: &String| ownership::plan(&before, OWN, DC, service, allocation);
+    let rank = |service: &String| ownership::plan(&before, OWN_ID, OWN_DC, service, allocation);
     let known: Vec<Plan> = services.iter().map(rank).collect();
 
-    let anew = median(|| services.iter().for_each(|s| drop(black_box(rank(s)))));
-    let carried = median(|| {
+    let full = median(|| services.iter().for_each(|s| drop(black_box(rank(s)))));
+    let incremental = median(|| {
         let change = ownership::Change::new(&before, &now);
         for (service, known) in services.iter().zip(&known) {
             let plan = ownership::replan(known, &change, &now, query(service), allocation);
             drop(black_box(plan));
         }
     });
-    let place = median(|| drop(black_box(Subscription::new(&now, OWN, DC))));
-    let empty = resident();
+    let subscription = median(|| drop(black_box(Subscription::new(&now, OWN_ID, OWN_DC))));
+    let empty_kb = resident();
     let mirror = mirror();
-    let kept = resident() - empty;
-    let told = median(|| drop(black_box(mirror.since(mirror.revision() - TOLD as u64))));
+    let mirror_kb = resident() - empty_kb;
+    let update = median(|| drop(black_box(mirror.since(mirror.revision() - BATCH as u64))));
 
-    let bound = Duration::from_secs_f64(SHARE * SECONDS_A_DAY / CHANGES_A_DAY);
-    println!("owners: {anew:.1?} ranked anew, {carried:.1?} carried over, bound {bound:.1?}");
-    println!("feeders: {place:.1?}; {TOLD} changes told: {told:.1?}; mirror: {kept:.0} KB");
-    assert!(carried + place <= bound, "a change is past its bound");
-    assert!(kept <= MEMORY_KB, "the mirror is past its bound");
+    let bound = Duration::from_secs_f64(MAX_CPU_FRACTION * SECONDS_PER_DAY / CHANGES_PER_DAY);
+    println!("owners: {full:.1?} ranking all, {incremental:.1?} incrementally, bound {bound:.1?}");
+    println!(
+        "relays: {subscription:.1?}; {BATCH} changes: {update:.1?}; mirror: {mirror_kb:.0} KB"
+    );
+    assert!(
+        incremental + subscription <= bound,
+        "CPU time of a change exceeds its bound"
+    );
+    assert!(
+        mirror_kb <= MAX_MEMORY_KB,
+        "memory of the mirror exceeds its bound"
+    );
 }
--- a/crates/engine/benches/measure/mod.rs
+++ b/crates/engine/benches/measure/mod.rs
@@ -1,11 +1,10 @@
-//! What benches measure with: times of repeated work, and the memory of this process.
+//! Measurements for benches: the time of repeated work, and the memory of this process.
 
 use std::time::{Duration, Instant};
 
-/// How often work is repeated.
 const ROUNDS: usize = 5;
 
-/// The median time of some rounds.
+/// Runs `work` several times and returns the median duration.
 pub fn median(mut work: impl FnMut()) -> Duration {
     let mut times: Vec<Duration> = (0..ROUNDS)
         .map(|_| {
@@ -18,7 +17,7 @@
     times[ROUNDS / 2]
 }
 
-/// Resident memory of this process, in KB.
+/// The resident memory of this process, in KB.
 pub fn resident() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
