--- a/crates/engine/tests/commits.rs
+++ b/crates/engine/tests/commits.rs
@@ -1,4 +1,4 @@
-//! Whether a caller may be told that its commit is kept.
+//! Whether a commit is durable, so that its caller may be told that it succeeded.
 
 use std::time::Duration;
 
@@ -44,14 +44,14 @@
     }
 }
 
-/// A lease that began at 0.
+/// A lease that started at 0 ms.
 fn lease() -> Lease {
     let mut lease = Lease::default();
     lease.confirm(poll(0, 10, 2));
     lease
 }
 
-/// Commit 2.705 of "a@1", which "b@1" was found to have at 20.
+/// A commit of "a@1" at LSN 705 of term 2, which "b@1" is known to have since 20 ms.
 fn held_by_b() -> Commit {
     let mut commit = Commit::new(position(705), 1);
     commit.note(&id("b@1"), true, &received(705), at(20));
@@ -62,8 +62,8 @@
     vec![id("b@1"), id("c@1")]
 }
 
-/// What the store says when it is asked at 30.
-fn testimony(promoted: Option<&str>) -> Snapshot {
+/// The group's record, requested at 30 ms.
+fn snapshot(promoted: Option<&str>) -> Snapshot {
     Snapshot {
         asked: at(30),
         promoted: promoted.map(str::to_owned),
@@ -71,14 +71,14 @@
     }
 }
 
-/// A caller's commit is on a replica while the lease of its primary lasts: it is kept.
+/// While the primary's lease is valid, a commit that one replica has is durable.
 #[test]
 fn one_replica_is_enough_under_a_lease() {
     assert!(held_by_b().is_durable(Some(&lease()), Membership::Current, &others()));
 }
 
-/// The replicas were held for a promotion, so the lease ran out. The promotion takes effect, the holds
-/// end, and b, which has not heard of it, receives the commit. Its word proves nothing.
+/// The lease expired because the replicas were held for a promotion. The promotion takes effect and
+/// releases them, and b, which does not know of it yet, receives a commit that is rolled back later.
 #[test]
 fn one_replica_is_not_enough_after_the_lease() {
     let mut commit = Commit::new(position(705), 1);
@@ -88,10 +88,10 @@
     assert!(!commit.is_durable(Some(&lease()), Membership::Current, &others()));
 }
 
-/// A replica that does not obey cannot be asked, so a single word began no lease: it says what a newer
-/// primary has acknowledged by then, not that there is none.
+/// A poll that only one of two replicas answers starts no lease. It proves that no newer primary had
+/// acknowledged a commit by then, not that none has been promoted.
 #[test]
-fn single_word_is_no_lease() {
+fn one_follower_does_not_start_a_lease() {
     let mut lease = Lease::default();
 
     lease.confirm(poll(100, 110, 1));
@@ -100,21 +100,21 @@
     assert!(!held_by_b().is_durable(Some(&lease), Membership::Current, &others()));
 }
 
-/// The primary that made the commit has been replaced: the lease is another's.
+/// The primary that made the commit has been replaced, so no lease of it is valid.
 #[test]
-fn lease_of_another_primary_proves_nothing() {
+fn one_replica_is_not_enough_without_a_lease() {
     assert!(!held_by_b().is_durable(None, Membership::Current, &others()));
 }
 
-/// Without a list that is young enough the replica may be one that no promoter counts any more.
+/// Without a current list, the replica may be one that no longer counts for promotions.
 #[test]
-fn one_replica_is_not_enough_by_an_old_list() {
+fn one_replica_is_not_enough_without_a_current_list() {
     for list in [Membership::Stale, Membership::Missing] {
         assert!(!held_by_b().is_durable(Some(&lease()), list, &others()));
     }
 }
 
-/// All servers have the commit, so whichever is promoted has it.
+/// All servers have the commit, so it survives the promotion of any of them.
 #[test]
 fn all_replicas_are_enough() {
     let mut commit = held_by_b();
@@ -124,10 +124,10 @@
     assert!(commit.is_durable(None, Membership::Stale, &others()));
 }
 
-/// Replica b confirms, starts again, and confirms once more in its new life. Two lives are not two
+/// Replica b confirms the commit, restarts and confirms it again. Its two incarnations are not two
 /// servers: c may lack the commit and be promoted.
 #[test]
-fn two_lives_are_one_server() {
+fn two_incarnations_are_one_server() {
     let mut commit = held_by_b();
 
     commit.note(&id("b@2"), true, &received(705), at(900));
@@ -136,7 +136,7 @@
     assert!(!commit.is_durable(None, Membership::Current, &others));
 }
 
-/// A server that followed a newer primary may have lost the commit at the change.
+/// A server that has followed a newer primary may have truncated its log and lost the commit.
 #[test]
 fn log_of_a_later_term_does_not_confirm() {
     let mut commit = Commit::new(position(705), 1);
@@ -148,49 +148,51 @@
     assert!(!commit.is_replicated());
 }
 
-/// Commits wait for two replicas, and b alone is known to have this one. The other may be a server that
-/// no promoter counts, and three of five held servers need not include b.
+/// Commits wait for two replicas, but only b is known to have this one. The other may be a server that
+/// does not count for promotions, and a promotion quorum of three of five servers need not include b.
 #[test]
-fn two_synchronous_replicas_need_two_words() {
+fn two_synchronous_replicas_need_two_confirmations() {
     let mut commit = Commit::new(position(705), 2);
     commit.note(&id("b@1"), true, &received(705), at(20));
     let others = ["b@1", "c@1", "d@1", "e@1"].map(id);
 
     let by_lease = commit.is_durable(Some(&lease()), Membership::Current, &others);
-    let by_store = commit.is_durable_by_record(&testimony(None), &id("a@1"));
+    let by_record = commit.is_durable_by_record(&snapshot(None), &id("a@1"));
 
-    assert!(!by_lease && !by_store);
+    assert!(!by_lease && !by_record);
 }
 
-/// Nobody was promoted after the primary when the store was asked, and b had the commit before: whoever
-/// promotes asks b once more and finds it.
+/// The record was requested after b had the commit, and shows no promotion of another server. A later
+/// failover requests b's status again and finds the commit.
 #[test]
-fn store_confirms_while_nobody_else_was_promoted() {
+fn record_without_another_promotion_confirms() {
     for promoted in [None, Some("a")] {
-        assert!(held_by_b().is_durable_by_record(&testimony(promoted), &id("a@1")));
+        assert!(held_by_b().is_durable_by_record(&snapshot(promoted), &id("a@1")));
     }
 }
 
-/// A promotion of c has been written down: b may have been asked before it received the commit.
+/// The record shows a promotion of c, whose failover may have requested b's status before b received
+/// the commit.
 #[test]
-fn store_does_not_confirm_once_another_is_promoted() {
-    assert!(!held_by_b().is_durable_by_record(&testimony(Some("c")), &id("a@1")));
+fn record_of_another_promotion_does_not_confirm() {
+    assert!(!held_by_b().is_durable_by_record(&snapshot(Some("c")), &id("a@1")));
 }
 
-/// The store was asked before b was known to have the commit: a promotion may have come in between.
+/// The record was requested before b was known to have the commit; a promotion may have been recorded
+/// in between.
 #[test]
-fn earlier_word_of_the_store_does_not_confirm() {
+fn record_older_than_the_report_does_not_confirm() {
     let mut commit = Commit::new(position(705), 1);
 
     commit.note(&id("b@1"), true, &received(705), at(31));
 
-    assert!(!commit.is_durable_by_record(&testimony(None), &id("a@1")));
+    assert!(!commit.is_durable_by_record(&snapshot(None), &id("a@1")));
 }
 
-/// A replica's answer is 250 ms late. It was asked within the promoter's wait, but may have answered
-/// after the promotion, when the hold had ended: the lease does not go on.
+/// A replica is polled within the promotion wait but answers after it. The answer may be from after a
+/// promotion that released the replica, so it does not renew the lease.
 #[test]
-fn late_answer_renews_no_lease() {
+fn late_answer_does_not_renew_the_lease() {
     let mut lease = lease();
 
     lease.confirm(poll(545, 800, 1));
@@ -198,10 +200,10 @@
     assert!(!lease.excludes_promotion(at(810)));
 }
 
-/// A server counts for a promotion that is not registered any more. All that can be asked obey, but that
-/// one may have been promoted: no lease begins.
+/// A server that counts for promotions is no longer registered. All registered replicas follow the
+/// primary, but the unregistered server may have been promoted, so no lease starts.
 #[test]
-fn server_out_of_sight_begins_no_lease() {
+fn unregistered_server_prevents_a_lease() {
     let mut lease = Lease::default();
 
     lease.confirm(Poll {
@@ -212,20 +214,20 @@
     assert!(!lease.excludes_promotion(at(20)));
 }
 
-/// b confirmed the commit, then b followed another primary, and the first was promoted again before the
-/// store was asked. Guards against a name in the store that stands for the primary's second time.
+/// The record also names the primary if another server was promoted and then the primary again. b may
+/// have lost the commit in between, so a report older than the promotion wait does not count.
 #[test]
-fn word_from_before_the_wait_of_a_promotion_is_no_witness() {
-    let late = |millis| Snapshot {
+fn report_older_than_the_promotion_wait_does_not_confirm() {
+    let snapshot_at = |millis| Snapshot {
         asked: at(millis),
-        ..testimony(Some("a"))
+        ..snapshot(Some("a"))
     };
     let mut commit = held_by_b();
     let wait = PROMOTION_WAIT.as_millis() as u64;
 
-    let stale = commit.is_durable_by_record(&late(20 + wait), &id("a@1"));
+    let stale = commit.is_durable_by_record(&snapshot_at(20 + wait), &id("a@1"));
     commit.note(&id("b@1"), true, &received(705), at(600));
-    let again = commit.is_durable_by_record(&late(10 + wait + 60), &id("a@1"));
+    let recent = commit.is_durable_by_record(&snapshot_at(10 + wait + 60), &id("a@1"));
 
-    assert!(!stale && again);
+    assert!(!stale && recent);
 }
--- a/crates/engine/tests/control.rs
+++ b/crates/engine/tests/control.rs
@@ -1,4 +1,5 @@
-//! Decisions about the surroundings: servers come and go, the duty, a data centre cut off, versions.
+//! Control plane: registration of servers, election of the failover leader, detection of a partitioned
+//! data centre, and configuration versions.
 
 use std::time::Duration;
 
@@ -35,10 +36,10 @@
     registry
 }
 
-/// The store was down, all entries lapsed, and on its return the list is empty for two seconds.
-/// Traffic must go on to the servers meanwhile.
+/// All entries expire during a store outage, and the list is empty for two seconds after it. Servers
+/// must not be dropped meanwhile.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_until_they_are_back() {
+fn servers_are_kept_until_entries_lost_in_an_outage_are_restored() {
     let mut registry = registry(&["a", "b"]);
     registry.replace(Vec::new(), at(1_000));
 
@@ -51,10 +52,10 @@
     assert_eq!(registry.len(), 1);
 }
 
-/// The store goes out of reach again while entries are missing: time in which nothing could be read
-/// does not count against them.
+/// The store becomes unreachable again while entries are missing. Time in which they cannot be read
+/// does not count towards their timeout.
 #[test]
-fn outage_starts_the_return_period_anew() {
+fn outage_restarts_the_timeout_of_missing_entries() {
     let mut registry = registry(&["a"]);
     registry.mark_missing("a", at(0));
 
@@ -63,9 +64,9 @@
     assert!(registry.expire(at(10_000)).is_empty());
 }
 
-/// A server that leaves is remembered as leaving since the first sign.
+/// Guards against a drain period that starts again when the entry of a leaving server changes.
 #[test]
-fn leaving_is_counted_from_the_first_sign() {
+fn drain_period_starts_at_the_first_announcement() {
     let mut registry = registry(&[]);
     let leaving = Server {
         leaving: true,
@@ -81,9 +82,8 @@
     assert_eq!(registry.servers_of("ledger")[0].leaving_since, Some(at(0)));
 }
 
-/// The store turns a proxy away for nine seconds. Meanwhile a server says that it leaves, and when the
-/// proxy hears of it, it may have said so right after the proxy's last look: seven seconds after its
-/// word, its last reads would run on a server that is about to end.
+/// The store is unreachable for nine seconds, and a server announces meanwhile that it will stop. It may
+/// have done so right after the last sync and be about to stop, so it gets no new work.
 #[test]
 fn server_found_leaving_after_an_outage_gets_no_new_work() {
     let leaving = Server {
@@ -92,21 +92,21 @@
     };
     let mut registry = registry(&["a"]);
     registry.note_synced(at(0));
-    let mut watching = registry.clone();
-    watching.note_synced(at(8_900));
+    let mut synced = registry.clone();
+    synced.note_synced(at(8_900));
 
     registry.put(leaving.clone(), at(9_000));
-    watching.put(leaving, at(9_000));
+    synced.put(leaving, at(9_000));
 
     assert!(!registry.servers_of("ledger")[0].takes_work(at(9_000)));
-    assert!(watching.servers_of("ledger")[0].takes_work(at(9_000)));
-    assert!(watching.servers_of("ledger")[0].takes_work(at(13_800)));
-    assert!(!watching.servers_of("ledger")[0].takes_work(at(14_000)));
+    assert!(synced.servers_of("ledger")[0].takes_work(at(9_000)));
+    assert!(synced.servers_of("ledger")[0].takes_work(at(13_800)));
+    assert!(!synced.servers_of("ledger")[0].takes_work(at(14_000)));
 }
 
-/// A process starts and finds a server leaving: since when, it cannot know.
+/// A process that starts cannot know how long ago a leaving server announced that it will stop.
 #[test]
-fn server_found_leaving_at_the_start_gets_no_work() {
+fn server_found_leaving_at_startup_gets_no_work() {
     let mut registry = Registry::default();
     registry.note_synced(Moment::default());
     let leaving = Server {
@@ -124,7 +124,7 @@
     assert_eq!(takes, [false, true]);
 }
 
-/// A stale read of the store brings an older version after a newer one was in force.
+/// A stale read of the store returns an older configuration after a newer one was applied.
 #[test]
 fn older_version_never_replaces_a_newer_one() {
     let version = |version| Catalog {
@@ -138,75 +138,77 @@
     assert!(!version(7).replaces(Some(&version(7))));
 }
 
-/// The holder of the duty is suspended; it wakes after its lease has ended and another process has
-/// promoted. It must not act on its old token.
+/// The failover leader is suspended and resumes after its lease has expired and another process has
+/// promoted a server. It must not act on its old fencing token.
 #[test]
-fn suspended_holder_has_no_token() {
-    let mut duty = Election::default();
-    duty.note_renewal(at(0));
-    duty.note_won("a", 7);
+fn suspended_leader_has_no_token() {
+    let mut election = Election::default();
+    election.note_renewal(at(0));
+    election.note_won("a", 7);
 
-    let before = duty.token(at(1_000));
-    let after = duty.token(at(0) + LEASE_TTL);
+    let before = election.token(at(1_000));
+    let after = election.token(at(0) + LEASE_TTL);
 
     assert_eq!((before, after), (Some(7), None));
 }
 
-/// The store takes the key away without a word, and another process writes it: the first sees it.
+/// The store drops the leader's key without notice, and another process writes it.
 #[test]
-fn holder_whose_key_is_rewritten_has_no_token() {
-    let mut duty = Election::default();
-    duty.note_renewal(at(0));
-    duty.note_won("a", 7);
+fn leader_whose_key_was_rewritten_has_no_token() {
+    let mut election = Election::default();
+    election.note_renewal(at(0));
+    election.note_won("a", 7);
 
-    duty.note_holder(Some(("b", 9)));
+    election.note_holder(Some(("b", 9)));
 
-    assert_eq!(duty.token(at(100)), None);
-    assert!(!duty.can_acquire(at(100)));
+    assert_eq!(election.token(at(100)), None);
+    assert!(!election.can_acquire(at(100)));
 }
 
 #[test]
-fn duty_is_claimed_only_under_a_lease_that_lasts() {
-    let mut duty = Election::default();
-    let without = duty.can_acquire(at(0));
-    duty.note_renewal(at(0));
+fn leadership_is_acquired_only_under_a_valid_lease() {
+    let mut election = Election::default();
+    let without = election.can_acquire(at(0));
+    election.note_renewal(at(0));
 
     assert!(!without);
-    assert!(duty.can_acquire(at(100)));
-    assert!(!duty.can_acquire(at(0) + LEASE_TTL));
+    assert!(election.can_acquire(at(100)));
+    assert!(!election.can_acquire(at(0) + LEASE_TTL));
 }
 
-/// A holder is cut off while proxies are restarted in turn. Of those that see the duty free, one that
-/// has just started would have to wait until it may replace a primary that another has promoted, so
-/// those that have run for longer claim first.
+/// The failover leader is partitioned during a rolling restart. A recently started process may not
+/// promote servers yet, so processes that have run for longer claim the leadership first.
 #[test]
-fn process_that_has_just_started_claims_last() {
-    let (young, old) = (Duration::from_millis(430), PROMOTION_COOLDOWN);
-
-    assert!(claim_delay(young, true) > claim_delay(old, true) + Duration::from_millis(250));
-    assert_eq!(claim_delay(old, true), Duration::ZERO);
+fn recently_started_process_claims_last() {
+    let (short_uptime, long_uptime) = (Duration::from_millis(430), PROMOTION_COOLDOWN);
+
+    assert!(
+        claim_delay(short_uptime, true)
+            > claim_delay(long_uptime, true) + Duration::from_millis(250)
+    );
+    assert_eq!(claim_delay(long_uptime, true), Duration::ZERO);
 }
 
-/// A data centre is cut off: its proxies send new callers away once they are sure, resting ones
-/// once the balancer has noticed, and take them back as soon as anything outside answers.
+/// A data centre is partitioned. Its proxies report not ready once that is certain, close idle
+/// sessions once the load balancer has noticed, and recover when any host outside answers.
 #[test]
-fn proxy_that_reaches_nothing_outside_sends_callers_elsewhere() {
+fn isolated_proxy_sends_callers_elsewhere() {
     let mut isolation = Isolation::default();
     isolation.note(false, at(0));
-    let first = isolation.is_isolated(at(0));
+    let immediately = isolation.is_isolated(at(0));
     isolation.note(false, at(500));
-    let sure = at(0) + ISOLATED_AFTER;
-    let noticed = sure + BALANCER_DELAY;
-
-    assert!(!first);
-    assert!(isolation.is_isolated(sure));
-    assert!(!isolation.should_close_sessions(sure));
-    assert!(isolation.should_close_sessions(noticed));
-    isolation.note(true, noticed);
-    assert!(!isolation.is_isolated(noticed));
+    let isolated_at = at(0) + ISOLATED_AFTER;
+    let noticed_at = isolated_at + BALANCER_DELAY;
+
+    assert!(!immediately);
+    assert!(isolation.is_isolated(isolated_at));
+    assert!(!isolation.should_close_sessions(isolated_at));
+    assert!(isolation.should_close_sessions(noticed_at));
+    isolation.note(true, noticed_at);
+    assert!(!isolation.is_isolated(noticed_at));
 }
 
-fn life(id: &str, born: u64, leaving: bool) -> Server {
+fn incarnation_of(id: &str, born: u64, leaving: bool) -> Server {
     Server {
         incarnation: Incarnation {
             id: id.to_owned(),
@@ -217,42 +219,42 @@
     }
 }
 
-/// A server that was leaving crashes and starts again under its id. Its new life takes work, and a
-/// heartbeat of the earlier one that arrives late does not bring that back.
+/// A leaving server crashes and restarts under its id. Its new incarnation gets work, and a late
+/// heartbeat of the earlier one must not mark it as leaving again.
 #[test]
-fn late_heartbeat_of_an_earlier_life_changes_nothing() {
+fn late_heartbeat_of_an_earlier_incarnation_is_ignored() {
     let mut registry = Registry::default();
-    registry.put(life("a", 1_000, true), at(0));
+    registry.put(incarnation_of("a", 1_000, true), at(0));
 
-    let began = registry.put(life("a", 2_000, false), at(8_000));
-    let late = registry.put(life("a", 1_000, true), at(8_100));
+    let restart_applied = registry.put(incarnation_of("a", 2_000, false), at(8_000));
+    let late_applied = registry.put(incarnation_of("a", 1_000, true), at(8_100));
     let entry = registry.servers_of("ledger").remove(0);
 
-    assert!(began && !late);
+    assert!(restart_applied && !late_applied);
     assert_eq!(entry.server.incarnation.born, 2_000);
     assert!(entry.takes_work(at(20_000)));
 }
 
-/// The store came back from a copy, without the holder's key. Guards against a second holder who promotes
-/// while the first, who has not heard of it, still relies on its lease.
+/// The store was restored from a backup without the leader's key. Guards against a second leader that
+/// promotes while the first, which does not know of the restore, still relies on its lease.
 #[test]
-fn duty_is_left_alone_until_a_lost_lease_has_run_out() {
-    let mut duty = Election::default();
-    duty.note_renewal(at(0));
-    duty.note_won("a", 7);
+fn leadership_is_not_claimed_until_a_lost_lease_has_expired() {
+    let mut election = Election::default();
+    election.note_renewal(at(0));
+    election.note_won("a", 7);
 
-    duty.note_store_restored(at(1_000));
-    duty.note_holder(None);
+    election.note_store_restored(at(1_000));
+    election.note_holder(None);
 
-    assert_eq!(duty.token(at(1_000)), None);
-    assert!(!duty.may_claim(at(1_000) + LEASE_TTL - Duration::from_millis(1)));
-    assert!(duty.may_claim(at(1_000) + LEASE_TTL));
+    assert_eq!(election.token(at(1_000)), None);
+    assert!(!election.may_claim(at(1_000) + LEASE_TTL - Duration::from_millis(1)));
+    assert!(election.may_claim(at(1_000) + LEASE_TTL));
 }
 
-/// A server said that it leaves, and the store came back from a copy of before. Guards against new work for
-/// it until it has said so again; what it then writes counts.
+/// The store was restored from a backup that predates a server's announcement that it will stop. Guards
+/// against new work for the server before it has written its entry again.
 #[test]
-fn server_that_leaves_goes_on_leaving_after_a_restore() {
+fn leaving_server_stays_leaving_after_a_restore() {
     let mut registry = registry(&["a"]);
     let mut leaving = server("a");
     leaving.leaving = true;
--- a/crates/engine/tests/delta.rs
+++ b/crates/engine/tests/delta.rs
@@ -1,11 +1,10 @@
-//! Values told by what of them is new.
+//! Delta encoding of values.
 
 use dandelionpitch_engine::delta::{Delta, Piece};
 
-/// The revision of the earlier value.
-const OF: u64 = 7;
+const BASE_REVISION: u64 = 7;
 
-/// A configuration of `routes` routes, in which the one at `changed` has another timeout.
+/// A configuration of `routes` routes, of which the one at `changed` has a different timeout.
 fn configuration(version: u64, routes: usize, changed: usize) -> Vec<u8> {
     let route = |index: usize| {
         let timeout = match index == changed {
@@ -32,25 +31,27 @@
     pieces.iter().map(new).sum()
 }
 
-/// One route of thousands gets another timeout. Told whole, the configuration would be as long as the
-/// fleet is large; what is told of it is not.
+/// Guards against a delta that grows with the configuration when only a few routes change.
 #[test]
-fn change_costs_the_same_in_a_long_configuration() {
+fn delta_size_does_not_depend_on_the_configuration_size() {
     for routes in [10, 10_000] {
         let old = configuration(1, routes, 3);
         let new = configuration(2, routes, 7);
 
-        let delta = Delta::new(OF, &old, &new);
+        let delta = Delta::new(BASE_REVISION, &old, &new);
 
         let pieces = &delta.pieces;
-        assert_eq!(delta.apply(OF, &old).as_deref(), Some(new.as_slice()));
+        assert_eq!(
+            delta.apply(BASE_REVISION, &old).as_deref(),
+            Some(new.as_slice())
+        );
         assert!(new_bytes(pieces) < 400, "{routes}: {}", new_bytes(pieces));
         assert!(pieces.len() < 10, "{routes}: {}", pieces.len());
     }
 }
 
 #[test]
-fn routes_may_come_go_and_move() {
+fn routes_may_be_added_removed_and_moved() {
     let old = configuration(1, 50, 3);
     for new in [
         configuration(2, 60, 9),
@@ -59,23 +60,23 @@
         Vec::new(),
         b"no object at all".to_vec(),
     ] {
-        let of_nothing = Delta::new(OF, &[], &new);
+        let from_empty = Delta::new(BASE_REVISION, &[], &new);
         assert_eq!(
-            Delta::new(OF, &old, &new).apply(OF, &old),
+            Delta::new(BASE_REVISION, &old, &new).apply(BASE_REVISION, &old),
             Some(new.clone())
         );
-        assert_eq!(of_nothing.apply(OF, &[]), Some(new));
+        assert_eq!(from_empty.apply(BASE_REVISION, &[]), Some(new));
     }
 }
 
-/// The other end has another value than the one that was compared: a shorter one, one of the same shape, or the
-/// same under another revision. It makes nothing of the delta rather than a value that never was.
+/// The receiver has a different base: a shorter one, one of the same length, or the same at another
+/// revision. It must reject the delta instead of producing a value that never existed.
 #[test]
-fn delta_of_another_value_makes_none() {
+fn delta_is_rejected_for_another_base() {
     let old = configuration(1, 50, 3);
-    let delta = Delta::new(OF, &old, &configuration(2, 50, 3));
+    let delta = Delta::new(BASE_REVISION, &old, &configuration(2, 50, 3));
 
-    assert_eq!(delta.apply(OF, b"{}"), None);
-    assert_eq!(delta.apply(OF, &configuration(3, 50, 9)), None);
-    assert_eq!(delta.apply(OF + 1, &old), None);
+    assert_eq!(delta.apply(BASE_REVISION, b"{}"), None);
+    assert_eq!(delta.apply(BASE_REVISION, &configuration(3, 50, 9)), None);
+    assert_eq!(delta.apply(BASE_REVISION + 1, &old), None);
 }
