--- a/crates/engine/tests/feed.rs
+++ b/crates/engine/tests/feed.rs
@@ -1,4 +1,4 @@
-//! From whom a proxy hears what changed in the store.
+//! Which source a proxy follows for changes of the store, and how current a response makes it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,8 +17,9 @@
     Duration::from_millis(millis)
 }
 
-/// Proxies `DC-0` and on in each data centre, every third one strong.
-fn fleet(dcs: &[&str], each: u16) -> Vec<Peer> {
+/// `per_dc` proxies in each data centre, named `DC-0`, `DC-1` and so on. Every third one has a higher
+/// capacity than the others.
+fn fleet(dcs: &[&str], per_dc: u16) -> Vec<Peer> {
     let peer = |(dc, n): (&str, u16)| Peer {
         id: format!("{dc}-{n}"),
         dc: dc.to_owned(),
@@ -28,29 +29,29 @@
             _ => 300.0,
         },
     };
-    let all = dcs.iter().flat_map(|dc| (0..each).map(move |n| (*dc, n)));
+    let all = dcs.iter().flat_map(|dc| (0..per_dc).map(move |n| (*dc, n)));
     all.map(peer).collect()
 }
 
-/// Hundreds of proxies start, are restarted in turn, and each writes its entry. If each watched the store,
-/// every entry would cost a call for each of them; a few of each data centre do, however many there are.
+/// If every proxy watched the store, each entry written by a starting proxy would cost the store one
+/// response per proxy.
 #[test]
-fn watches_do_not_grow_with_the_fleet() {
-    for each in [10, 100] {
-        let peers = fleet(&["a", "b", "c"], each);
+fn number_of_watches_does_not_grow_with_the_number_of_proxies() {
+    for per_dc in [10, 100] {
+        let peers = fleet(&["a", "b", "c"], per_dc);
 
-        let watching = peers
+        let relays = peers
             .iter()
             .filter(|peer| Subscription::new(&peers, &peer.id, &peer.dc).is_relay);
 
-        assert_eq!(watching.count(), 6, "{each} in each data centre");
+        assert_eq!(relays.count(), 6, "{per_dc} in each data centre");
     }
 }
 
-/// Each change goes out from a feeder once for each follower, so weak VMs are not asked to, and the
-/// followers are spread over the feeders.
+/// A relay sends each change to all its followers, so VMs with little capacity must not be relays, and
+/// the followers must be spread over the relays.
 #[test]
-fn strong_proxies_feed_and_share_the_followers() {
+fn proxies_with_the_highest_capacity_are_relays_and_share_the_followers() {
     let peers = fleet(&["a", "b"], 40);
     let relays = feed::relays(&peers, "a");
     let subscriptions = peers.iter().filter(|peer| peer.dc == "a").map(|peer| {
@@ -64,12 +65,15 @@
         .count();
 
     assert!(relays.iter().all(|peer| peer.capacity > 500.0));
-    assert!((10..=30).contains(&asked), "{asked} of 38 ask the first");
+    assert!(
+        (10..=30).contains(&asked),
+        "{asked} of 38 follow the first relay"
+    );
 }
 
-/// A few proxies in each data centre, as today: nothing changes for those that are as many as the feeders.
+/// In a data centre with no more proxies than relays, every proxy watches the store itself.
 #[test]
-fn few_proxies_watch_for_themselves() {
+fn all_of_a_few_proxies_watch_the_store() {
     let peers = fleet(&["a", "b", "c"], 2);
 
     let subscriptions = peers
@@ -81,20 +85,20 @@
         .all(|p| p.is_relay && p.sources[0] == Source::Store));
 }
 
-/// A proxy that has just started is not among the others yet. It does not become one more feeder.
+/// A starting proxy, which is not in the list yet, must not become an additional relay.
 #[test]
-fn starting_proxy_follows() {
+fn starting_proxy_is_a_follower() {
     let peers = fleet(&["a", "b"], 10);
 
     assert!(!Subscription::new(&peers, "a-new", "a").is_relay);
     assert!(Subscription::new(&[], "a-new", "a").is_relay);
 }
 
-/// Both feeders of a data centre are lost. Its followers ask those of others next, and the store last: it may be
-/// away itself, and hundreds of calls would meet it as it returns. When a feeder's rest is over
-/// they go back to it.
+/// Both relays of a data centre fail. Its followers try relays of other data centres next and the store
+/// last, since hundreds of requests could overload it as it recovers. They return to a relay of their own
+/// data centre after its backoff.
 #[test]
-fn lost_feeders_are_passed_over_and_asked_again() {
+fn failed_relays_are_skipped_until_their_backoff_ends() {
     let peers = fleet(&["a", "b", "c"], 10);
     let subscription = Subscription::new(&peers, "a-1", "a");
     let mut failures = Failures::default();
@@ -114,9 +118,9 @@
     assert_eq!(later, subscription.sources[0]);
 }
 
-/// The store is away for ten seconds. Of its followers' questions few meet the store itself.
+/// All sources fail for ten seconds. Guards against followers that overload an unreachable store.
 #[test]
-fn followers_leave_an_absent_store_alone() {
+fn followers_rarely_call_an_unreachable_store() {
     let peers = fleet(&["a", "b", "c"], 10);
     let subscription = Subscription::new(&peers, "a-1", "a");
     let mut failures = Failures::default();
@@ -130,9 +134,9 @@
     assert!(calls <= 3, "{calls} calls");
 }
 
-/// A feeder that the store turns away hears of changes from another one meanwhile.
+/// A relay that cannot reach the store follows another relay of its data centre.
 #[test]
-fn feeder_without_the_store_follows() {
+fn relay_without_the_store_follows_another_relay() {
     let peers = fleet(&["a", "b"], 10);
     let own = feed::relays(&peers, "a")[0].id.clone();
     let subscription = Subscription::new(&peers, &own, "a");
@@ -146,11 +150,10 @@
     assert!(matches!(second, Source::Peer(id) if id.starts_with('a') && id != own));
 }
 
-/// The feeder knew of everything 700 ms before its answer, which it gave 1 s after it was asked; then the answer
-/// was held up, or the follower was suspended, for 5 s. What it says holds up to 300 ms after
-/// the question, not up to the moment at which it was taken up.
+/// The relay responds 1 s after the request and may have missed the changes of the last 700 ms. The
+/// response makes the follower current up to 300 ms after the request, however late it is processed.
 #[test]
-fn held_up_answers_are_as_old_as_they_are() {
+fn delayed_response_does_not_look_more_recent() {
     let asked = at(10_000);
 
     let known = feed::known_until(asked, millis(1_000), millis(700));
@@ -158,13 +161,12 @@
     assert_eq!(known, at(10_300));
 }
 
-/// In a calm hour nothing changes, and the list of servers that a follower has must still be young enough to
-/// go by, just before the next answer.
+/// While nothing changes, a follower's list of servers must stay valid until its next poll ends.
 #[test]
-fn calm_hours_keep_lists_young() {
-    let feeder = 2 * POLL_TIMEOUT;
-    let follower = feeder + POLL_TIMEOUT;
+fn list_stays_valid_between_long_polls() {
+    let relay_age = 2 * POLL_TIMEOUT;
+    let follower_age = relay_age + POLL_TIMEOUT;
 
-    assert!(feeder < MAX_RELAY_AGE);
-    assert!(follower + millis(500) < LIST_VALIDITY);
+    assert!(relay_age < MAX_RELAY_AGE);
+    assert!(follower_age + millis(500) < LIST_VALIDITY);
 }
--- a/crates/engine/tests/fence.rs
+++ b/crates/engine/tests/fence.rs
@@ -1,4 +1,5 @@
-//! What the orders of an attempt prove, and whether its choice still stands just before the call.
+//! What the answers to the orders of a failover attempt prove, and whether its choice is still safe just
+//! before the promotion.
 
 use std::time::Duration;
 
@@ -10,13 +11,17 @@
     time::Moment,
 };
 
-const NEWEST: u64 = 2;
+/// The newest known term.
+const NEWEST_TERM: u64 = 2;
 
 fn status(role: Role, lsn: u64, held: u64) -> Status {
     Status {
         role,
-        term: NEWEST,
-        received: Position { term: NEWEST, lsn },
+        term: NEWEST_TERM,
+        received: Position {
+            term: NEWEST_TERM,
+            lsn,
+        },
         held,
     }
 }
@@ -26,7 +31,7 @@
 }
 
 fn held(lsn: u64) -> Status {
-    status(Role::Replica, lsn, NEWEST + 1)
+    status(Role::Replica, lsn, NEWEST_TERM + 1)
 }
 
 fn member(id: &str, seen: Status) -> Member {
@@ -38,7 +43,7 @@
     }
 }
 
-/// Primary a and its replicas b and c, all with 700 entries.
+/// Primary a and its replicas b and c, whose logs all end at LSN 700.
 fn group() -> [Member; 3] {
     [
         member("a", status(Role::Primary, 700, 0)),
@@ -50,7 +55,7 @@
 /// An attempt in which b and c are held.
 fn both_held() -> Fence {
     let members = group();
-    let mut fence = Fence::new(&members, NEWEST, None, 2);
+    let mut fence = Fence::new(&members, NEWEST_TERM, None, 2);
     for replica in &members[1..] {
         assert_eq!(fence.note(replica, &held(706)), Response::Held);
     }
@@ -61,46 +66,46 @@
     [("b".into(), b), ("c".into(), c)]
 }
 
-/// Nobody seemed to lead, and the server that led before was told to step down. It has long been a
-/// replica of the true primary, n, which did not answer and goes on. That it answers as a replica does
-/// not prove that its log is complete: with two of three held nobody may be promoted.
+/// No server seems to lead, and the former primary is told to step down. It has long been a replica of
+/// the actual primary, n, which does not answer but keeps running. An answer as a replica does not prove
+/// that its log is complete, and too few others are held, so no server may be promoted.
 #[test]
-fn replica_that_obeys_is_no_primary_that_stepped_down() {
+fn former_primary_does_not_count_as_stepping_down() {
     let members = [
         member("b", replica(700)),
         member("c", replica(700)),
         member("old", replica(705)),
         member("n", status(Role::Replica, 691, 2)),
     ];
-    let mut fence = Fence::new(&members, NEWEST, None, 3);
+    let mut fence = Fence::new(&members, NEWEST_TERM, None, 3);
 
     fence.note(&members[0], &held(706));
     fence.note(&members[1], &held(706));
-    let heard = fence.note(&members[2], &replica(705));
+    let response = fence.note(&members[2], &replica(705));
 
-    assert_eq!(heard, Response::Nothing);
+    assert_eq!(response, Response::Nothing);
     assert_eq!(fence.choice(), None);
 }
 
-/// The primary says that it leads and steps down; one of its replicas cannot be reached. Its log has
-/// everything, so the other replica, which has as much, may be promoted.
+/// The primary reports that it leads and steps down; one of its replicas is unreachable. Its log has every
+/// acknowledged commit, so the other replica, whose log is as long, may be promoted.
 #[test]
-fn primary_that_steps_down_has_everything() {
+fn primary_that_steps_down_has_every_commit() {
     let members = group();
-    let mut fence = Fence::new(&members, NEWEST, Some("a"), 2);
+    let mut fence = Fence::new(&members, NEWEST_TERM, Some("a"), 2);
 
-    let heard = fence.note(&members[0], &replica(705));
+    let response = fence.note(&members[0], &replica(705));
     fence.note(&members[1], &held(705));
 
-    assert_eq!(heard, Response::SteppedDown);
+    assert_eq!(response, Response::SteppedDown);
     assert_eq!(fence.choice().map(|one| one.id.id.as_str()), Some("b"));
 }
 
-/// As above, but the record says that n was promoted after a: a only believes that it leads.
+/// As above, but the record shows that n was promoted after a, which has not noticed it.
 #[test]
-fn primary_that_was_replaced_proves_nothing_by_stepping_down() {
+fn replaced_primary_proves_nothing_by_stepping_down() {
     let members = group();
-    let mut fence = Fence::new(&members, NEWEST, Some("n"), 2);
+    let mut fence = Fence::new(&members, NEWEST_TERM, Some("n"), 2);
 
     fence.note(&members[0], &replica(705));
     fence.note(&members[1], &held(705));
@@ -108,76 +113,75 @@
     assert_eq!(fence.choice(), None);
 }
 
-/// A later term than this process has seen among the members is known: the primary of an earlier term
-/// that is in sight was replaced.
+/// A later term is known than any member reports, so the primary among the members has been replaced.
 #[test]
 fn primary_of_an_earlier_term_proves_nothing_by_stepping_down() {
     let members = group();
-    let mut fence = Fence::new(&members, NEWEST + 1, None, 2);
+    let mut fence = Fence::new(&members, NEWEST_TERM + 1, None, 2);
 
     fence.note(&members[0], &replica(705));
-    fence.note(&members[1], &status(Role::Replica, 705, NEWEST + 2));
+    fence.note(&members[1], &status(Role::Replica, 705, NEWEST_TERM + 2));
 
-    assert_eq!((fence.term(), fence.choice()), (NEWEST + 2, None));
+    assert_eq!((fence.term(), fence.choice()), (NEWEST_TERM + 2, None));
 }
 
-/// One member is already in the term for which it was to be held: somebody was promoted meanwhile, and
-/// what that server acknowledges would be lost.
+/// A member is already in the term for which it was to be held, so another server was promoted meanwhile.
+/// A second promotion would lose the commits which that server acknowledges.
 #[test]
 fn member_in_the_attempts_term_ends_the_attempt() {
     let members = group();
     let mut fence = both_held();
-    let mut follows = replica(710);
-    follows.term = NEWEST + 1;
+    let mut follower = replica(710);
+    follower.term = NEWEST_TERM + 1;
 
-    let heard = fence.note(&members[0], &follows);
+    let response = fence.note(&members[0], &follower);
 
-    assert_eq!((heard, fence.choice()), (Response::Superseded, None));
+    assert_eq!((response, fence.choice()), (Response::Superseded, None));
 }
 
-/// Both are asked again just before the call, and are as they were.
+/// Both held members report an unchanged status just before the promotion.
 #[test]
-fn held_members_are_still_held() {
-    let again = Recheck::Answered(held(706));
+fn unchanged_members_pass_the_recheck() {
+    let unchanged = Recheck::Answered(held(706));
 
-    assert_eq!(both_held().recheck(&answers(again, again)), Ok(()));
+    assert_eq!(both_held().recheck(&answers(unchanged, unchanged)), Ok(()));
 }
 
-/// Replica b started again with its log while the leases ran out, has forgotten that it is held, and
-/// confirms what the old primary commits: the promoted server would lack it. The same if an order to
-/// receive again came late, if its log has grown, or if it has lost it.
+/// Replica b restarted with its log during the promotion wait. It is no longer held and may confirm
+/// commits of the old primary that the promoted server would lack. A late order to resume replication has
+/// the same effect. A log that has grown or was lost, or a newer term, also ends the attempt.
 #[test]
-fn member_that_was_let_go_is_found() {
-    let now_led = Status {
-        term: NEWEST + 1,
+fn recheck_detects_a_member_that_is_no_longer_fenced() {
+    let new_term = Status {
+        term: NEWEST_TERM + 1,
         ..held(706)
     };
-    for changed in [replica(706), held(707), held(3), now_led] {
-        let again = answers(Recheck::Answered(changed), Recheck::Answered(held(706)));
+    for changed in [replica(706), held(707), held(3), new_term] {
+        let rechecks = answers(Recheck::Answered(changed), Recheck::Answered(held(706)));
 
-        let result = both_held().recheck(&again);
+        let result = both_held().recheck(&rechecks);
 
         assert_eq!(result, Err(Objection::Changed("b".into())));
     }
 }
 
-/// A member that does not answer may be one that started again a moment ago: it is not counted.
+/// A member that does not answer the recheck may have restarted and be no longer held.
 #[test]
-fn silent_member_is_not_counted() {
-    let again = answers(Recheck::Unavailable, Recheck::Answered(held(706)));
+fn unresponsive_member_is_not_counted() {
+    let rechecks = answers(Recheck::Unavailable, Recheck::Answered(held(706)));
 
-    let result = both_held().recheck(&again);
+    let result = both_held().recheck(&rechecks);
 
     let (confirmed, quorum) = (1, 2);
     assert_eq!(result, Err(Objection::NoQuorum { confirmed, quorum }));
 }
 
-/// More members are held than are needed, and the one to be promoted is the one that does not answer: it
-/// may have lost its log.
+/// Enough members confirm that they are held, but the one to be promoted does not answer: it may have
+/// lost its log.
 #[test]
 fn chosen_member_has_to_answer() {
     let members = group();
-    let mut fence = Fence::new(&members, NEWEST, None, 1);
+    let mut fence = Fence::new(&members, NEWEST_TERM, None, 1);
     fence.note(&members[1], &held(705));
     fence.note(&members[2], &held(706));
 
@@ -187,18 +191,18 @@
     assert_eq!(result, Err(Objection::NoQuorum { confirmed, quorum }));
 }
 
-/// The primary stepped down, one replica is held. Before the call the primary leads again: it crashed and
-/// came back with its log.
+/// The primary stepped down and one replica is held. Before the promotion the primary restarts with its
+/// log and leads again.
 #[test]
-fn primary_that_leads_again_is_found() {
+fn recheck_detects_a_primary_that_leads_again() {
     let members = group();
-    let mut fence = Fence::new(&members, NEWEST, Some("a"), 2);
+    let mut fence = Fence::new(&members, NEWEST_TERM, Some("a"), 2);
     fence.note(&members[0], &replica(705));
     fence.note(&members[1], &held(705));
-    let leads = Recheck::Answered(status(Role::Primary, 705, 0));
+    let leading = Recheck::Answered(status(Role::Primary, 705, 0));
 
     let result = fence.recheck(&[
-        ("a".into(), leads),
+        ("a".into(), leading),
         ("b".into(), Recheck::Answered(held(705))),
     ]);
 
