--- a/crates/engine/tests/freshness.rs
+++ b/crates/engine/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! What reads must see: marks of the primary's log, and the lease that proves who leads.
+//! What a read must see: watermarks of the primary's log, and the lease that proves which server leads.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A group of three: two members besides the primary, one synchronous replica.
+/// A poll in a group with two members besides the primary and one synchronous replica.
 fn poll(millis: u64, followers: usize) -> Poll {
     Poll {
         answered: at(millis),
@@ -47,10 +47,10 @@
     }
 }
 
-/// A read may miss what was acknowledged within its allowance: the lowest position asked for since
-/// then is enough, and lets more replicas serve it.
+/// A read may miss commits acknowledged within its staleness bound. The lowest watermark that covers all
+/// earlier ones suffices, and more replicas have reached it.
 #[test]
-fn floor_is_the_oldest_mark_within_the_allowance() {
+fn floor_is_the_oldest_watermark_within_the_staleness_bound() {
     let mut marks = Watermarks::default();
     for (millis, lsn) in [(0, 10), (100, 20), (200, 30)] {
         marks.note(mark(millis, 1, lsn));
@@ -62,10 +62,10 @@
     assert_eq!(lsns, [Some(10), Some(20), Some(30), None]);
 }
 
-/// The primary's log ends in entries that nobody acknowledged, another server is promoted, and they
-/// are rolled back: a read that waits for them would be refused everywhere for good.
+/// The old primary's log ended in unacknowledged entries that were rolled back after a promotion. Every
+/// server would refuse a read that requires them.
 #[test]
-fn marks_of_an_earlier_term_are_dropped() {
+fn watermarks_of_an_earlier_term_are_dropped() {
     let mut marks = Watermarks::default();
     marks.note(mark(0, 1, 500));
     marks.note(mark(100, 2, 450));
@@ -75,9 +75,9 @@
     assert_eq!(floor, Some(mark(100, 2, 450)));
 }
 
-/// The old primary answers late, after marks of the new term are known.
+/// The old primary answers late, when watermarks of the new term are already known.
 #[test]
-fn mark_of_an_old_term_changes_nothing() {
+fn late_watermark_of_an_earlier_term_is_ignored() {
     let mut marks = Watermarks::default();
     marks.note(mark(0, 2, 450));
     marks.note(mark(100, 1, 600));
@@ -85,7 +85,7 @@
     assert_eq!(marks.newest(), Some(mark(0, 2, 450)));
 }
 
-/// A session has committed beyond what its allowance asks for: it must see its own commit.
+/// A session must see its own commit, even one newer than its staleness bound requires.
 #[test]
 fn own_commit_raises_the_floor() {
     let mut marks = Watermarks::default();
@@ -96,12 +96,11 @@
     assert_eq!(required, Some(position(1, 40)));
 }
 
-/// A primary is replaced. At that moment the hold on its replicas ends, and one of them has not
-/// heard of the new primary: it looks as if it obeyed the old one. The proxy has not asked for a
-/// while, the other replica (the new primary) is out of its reach. A lease on that one word would
-/// let reads miss what the new primary acknowledges next.
+/// A promotion releases the replicas, and one that does not know of the new primary yet looks like a
+/// follower of the old one. The other replica, the new primary, is unreachable for the proxy. A lease from
+/// a poll after the promotion wait would let reads miss the new primary's commits.
 #[test]
-fn one_word_after_a_pause_grants_no_lease() {
+fn one_follower_after_the_promotion_wait_grants_no_lease() {
     let mut lease = Lease::default();
     lease.confirm(poll(0, 2));
     let promoted = PROMOTION_WAIT.as_millis() as u64 + 100;
@@ -110,15 +109,18 @@
 
     assert!(
         lease.covers(at(promoted)),
-        "a read that came before the question"
+        "a read that arrived before the poll"
+    );
+    assert!(
+        !lease.covers(at(promoted + 1)),
+        "a read that arrived after the poll"
     );
-    assert!(!lease.covers(at(promoted + 1)), "a read that came after it");
 }
 
-/// A promoter holds the replicas for longer than the wait before it calls for the promotion, so one
-/// replica that is not held, asked within that time of the last proof, is proof enough.
+/// A failover holds the replicas for at least the promotion wait before it promotes a server, so one
+/// replica that is not held, polled within that time of the last renewal, suffices.
 #[test]
-fn one_word_within_the_wait_renews_the_lease() {
+fn one_follower_within_the_promotion_wait_renews_the_lease() {
     let mut lease = Lease::default();
     lease.confirm(poll(0, 2));
     let again = PROMOTION_WAIT.as_millis() as u64 - 1;
@@ -130,7 +132,7 @@
     assert!(!lease.covers(at(last + 1)));
 }
 
-/// A VM is suspended with a valid lease and wakes after another server was promoted.
+/// The VM is suspended with a valid lease and resumes after another server was promoted.
 #[test]
 fn lease_does_not_outlive_a_suspension() {
     let mut lease = Lease::default();
@@ -141,10 +143,10 @@
     assert!(!lease.is_renewable(at(4_100)));
 }
 
-/// Without synchronous replicas a new primary acknowledges commits alone, so nothing but the word
-/// of all others proves anything.
+/// Without synchronous replicas a new primary acknowledges commits alone, so only a poll in which all
+/// members follow the known primary proves that there is no newer one.
 #[test]
-fn without_synchronous_replicas_all_must_speak() {
+fn without_synchronous_replicas_all_members_must_follow() {
     let mut lease = Lease::default();
 
     lease.confirm(Poll {
@@ -156,9 +158,9 @@
     assert!(!lease.covers(at(0)));
 }
 
-/// A lease shorter than the promoter's wait is what the proof rests on.
+/// The lease proves something only if it expires before a promotion can take effect.
 #[test]
-fn promoter_waits_longer_than_a_lease() {
+fn promotion_wait_is_longer_than_the_lease() {
     assert!(PROMOTION_WAIT > LEADER_LEASE);
 }
 
@@ -167,10 +169,10 @@
     held_for_a_later_term = { Role::Replica, 3, 4, Relation::Supersedes },
     follower_of_a_later_primary = { Role::Replica, 4, 0, Relation::Supersedes },
     later_primary = { Role::Primary, 4, 0, Relation::Supersedes },
-    back_from_a_cut_in_an_old_term = { Role::Replica, 2, 0, Relation::Unrelated },
-    old_primary_back_from_a_cut = { Role::Primary, 2, 0, Relation::Unrelated },
+    rejoined_in_an_earlier_term = { Role::Replica, 2, 0, Relation::Unrelated },
+    old_primary_rejoined = { Role::Primary, 2, 0, Relation::Unrelated },
 )]
-fn word_of_a_server_about_the_primary_of_term_3(
+fn relation_of_a_server_to_the_primary_of_term_3(
     role: Role,
     term: u64,
     held: u64,
@@ -179,16 +181,15 @@
     assert_eq!(freshness::relation(&status(role, term, held), 3), expected);
 }
 
-/// A commit was acknowledged, and then a server says how far its log goes. In a later term the same
-/// number, or a higher one, may be another's commit.
+/// In a log of a later term, the same or a higher position may belong to another commit.
 #[parameterized(
     has_it = { 3, 40, true },
     has_more = { 3, 41, true },
     has_less = { 3, 39, false },
     follows_a_later_primary = { 4, 50, false },
-    back_from_an_old_term = { 2, 60, false },
+    rejoined_in_an_earlier_term = { 2, 60, false },
 )]
-fn server_has_the_commit_40_of_term_3(term: u64, lsn: u64, expected: bool) {
+fn server_has_commit_40_of_term_3(term: u64, lsn: u64, expected: bool) {
     let received = Position { term, lsn };
 
     assert_eq!(freshness::has_commit(received, position(3, 40)), expected);
@@ -199,10 +200,10 @@
     lsns.iter().map(position).collect()
 }
 
-/// The primary is cut off, the store is away, and nobody can be promoted. Callers' reads with an allowance
-/// go on: of three servers that count two answer, and each commit that a caller was told of is on
-/// two. With one answer, with a vanished server that may have the commit, or without synchronous
-/// replicas nothing is proved.
+/// The primary is partitioned, and no server can be promoted as the store is unreachable. Reads with a
+/// staleness bound continue: each confirmed commit is on two of the three servers that count, and two
+/// answer. One answer, or two if a vanished server may have the commit, or any number without synchronous
+/// replicas, proves nothing.
 #[parameterized(
     both_replicas = { &[17, 19], 3, 1, Some(19) },
     all_three = { &[17, 19, 20], 3, 1, Some(20) },
@@ -210,9 +211,9 @@
     one_has_vanished = { &[17, 19], 4, 1, None },
     two_synchronous = { &[17, 19], 4, 2, Some(19) },
     no_synchronous = { &[17, 19, 20], 3, 0, None },
-    nobody = { &[], 0, 1, None },
+    no_answers = { &[], 0, 1, None },
 )]
-fn answers_of_a_quorum_prove_a_position(
+fn answers_of_a_quorum_yield_a_watermark(
     received: &[u64],
     counted: usize,
     sync_replicas: usize,
@@ -225,10 +226,10 @@
     assert!(mark.is_none_or(|mark| mark.asked == at(500)));
 }
 
-/// The primary starts again with an empty log, and one of its answers comes while nobody else can lead yet.
-/// Its position must not become what reads have to see.
+/// The primary restarts with an empty log and answers before another server can lead. Its position must
+/// not become the floor of reads.
 #[test]
-fn shorter_log_is_no_mark() {
+fn shorter_log_yields_no_watermark() {
     let mut marks = Watermarks::default();
     let mark = |asked, lsn| Watermark {
         asked: at(asked),
@@ -242,21 +243,21 @@
     assert_eq!(marks.newest(), Some(mark(0, 40)));
 }
 
-/// A proxy that has just started takes a server for the primary, and that server starts again with nothing
-/// before any mark is noted. Guards against a read on the empty log: it must go up to what the server had.
+/// The primary restarts with an empty log before a recently started proxy has any watermark. Guards
+/// against reads on the empty log: they require the position that the primary reported before.
 #[test]
-fn log_that_led_is_what_reads_must_reach() {
+fn reads_require_the_position_that_the_primary_reported() {
     let mut marks = Watermarks::default();
 
-    let unknown = marks.newest_position();
+    let initial = marks.newest_position();
     marks.note_leader_position(position(2, 40));
-    let led = marks.newest_position();
+    let reported = marks.newest_position();
     marks.note(mark(0, 2, 41));
-    let marked = marks.newest_position();
+    let with_watermark = marks.newest_position();
     marks.note_leader_position(position(3, 20));
 
-    assert_eq!(unknown, None);
-    assert_eq!(led, Some(position(2, 40)));
-    assert_eq!(marked, Some(position(2, 41)));
+    assert_eq!(initial, None);
+    assert_eq!(reported, Some(position(2, 40)));
+    assert_eq!(with_watermark, Some(position(2, 41)));
     assert_eq!(marks.newest_position(), Some(position(3, 20)));
 }
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -1,5 +1,4 @@
-//! Load decisions: who waits, who is refused, where a read goes, how connections are shared. Each
-//! test replays the load that its decision answers.
+//! Load management: admission control, load balancing of reads, and division of connections.
 
 use std::time::Duration;
 
@@ -30,8 +29,8 @@
     }
 }
 
-/// A burst of 200 statements within 100 ms meets 4 connections that need 30 ms each, with a target
-/// of 400 ms. Whoever waits is answered within the target; the rest hear at once when to come back.
+/// In a burst, queued statements must be answered within the target, and the others refused at once with
+/// a retry-after time.
 #[test]
 fn burst_is_admitted_only_as_far_as_the_target_allows() {
     let (connections, hold, target) = (4, millis(30), millis(400));
@@ -60,24 +59,26 @@
 
     assert!(slowest <= target, "{slowest:?}");
     assert!(refused >= 150, "{refused}");
-    assert!(waiting >= 30, "the connections stay busy: {waiting}");
+    assert!(
+        waiting >= 30,
+        "too few to keep the connections busy: {waiting}"
+    );
 }
 
-/// A primary has more work than it can do, and its queue refuses a read: the same queue would refuse it
-/// again a moment later. With no primary known, one may come any moment, and a fifth of the target is
-/// spent on that.
+/// A full queue would refuse a statement again. A missing primary may be found at any moment, so the
+/// statement is retried for a fifth of its target.
 #[parameterized(
     full_queue = { Obstacle::QueueFull, 0, false },
     no_primary_yet = { Obstacle::NoServer, 60, true },
     no_primary_for_long = { Obstacle::NoServer, 90, false },
 )]
-fn refused_statement_is_offered_again(obstacle: Obstacle, waited: u64, expected: bool) {
-    let again = admission::may_retry(obstacle, millis(waited), millis(400));
+fn only_statement_without_a_server_is_retried(obstacle: Obstacle, waited: u64, expected: bool) {
+    let retry = admission::may_retry(obstacle, millis(waited), millis(400));
 
-    assert_eq!(again, expected);
+    assert_eq!(retry, expected);
 }
 
-/// What comes too late anyway only delays those behind it.
+/// A statement that will be late only delays those queued behind it.
 #[test]
 fn statement_without_time_left_is_refused() {
     let queue = Queue {
@@ -91,31 +92,31 @@
     assert!(matches!(decision, Decision::Refuse { .. }));
 }
 
-/// One of two replicas turns five times slower: within ten statements the reads go to the other.
+/// One of two replicas becomes five times slower. Within ten statements all reads go to the other.
 #[test]
-fn slow_replica_loses_its_reads() {
+fn slow_replica_gets_no_reads() {
     let mut slow = Mean::new(millis(30));
     for _ in 0..10 {
         slow.record(millis(150));
     }
     let slow = slow.value().as_millis() as u64;
 
-    let first = (0..100).map(|turn| placement::order(&[replica(0, slow), replica(2, 30)], turn)[0]);
+    let first =
+        (0..100).map(|rotation| placement::order(&[replica(0, slow), replica(2, 30)], rotation)[0]);
 
     assert_eq!(first.filter(|&index| index == 0).count(), 0);
 }
 
-/// Equal replicas share the reads.
 #[test]
-fn equal_replicas_take_turns() {
+fn equal_replicas_share_the_reads() {
     let replicas = [replica(1, 30), replica(1, 30)];
 
-    let first = (0..100).map(|turn| placement::order(&replicas, turn)[0]);
+    let first = (0..100).map(|rotation| placement::order(&replicas, rotation)[0]);
 
     assert_eq!(first.filter(|&index| index == 0).count(), 50);
 }
 
-/// Writes have nowhere else to go, so the primary gets reads only when replicas are much worse.
+/// Only the primary can run writes, so it gets reads only if the replicas are much slower.
 #[parameterized(
     idle_primary_and_little_work_on_the_replica = { 0, 2, 1 },
     idle_primary_and_a_full_replica = { 0, 8, 0 },
@@ -131,11 +132,10 @@
     assert_eq!(order[0], expected);
 }
 
-/// Writes and their short transactions take half as long as the lookups that replicas serve. A primary
-/// that looks quick for that reason is no better for a lookup, and gets none while its replicas have
-/// little to do.
+/// The primary's mean latency is low because writes are shorter than reads. It must not attract reads
+/// while its replicas have little load.
 #[test]
-fn quick_writes_draw_no_reads_to_the_primary() {
+fn short_writes_do_not_attract_reads_to_the_primary() {
     let primary = Candidate {
         primary: true,
         ..replica(0, 15)
@@ -146,16 +146,16 @@
     assert_eq!(order, [1, 2, 0]);
 }
 
-/// A replica in the own data centre goes before an equal one elsewhere: bytes between data centres
-/// are priced.
+/// Traffic between data centres is billed, so a local replica is preferred to an equal remote one.
 #[test]
-fn near_replica_goes_first() {
-    let far = Candidate {
+fn local_replica_is_preferred() {
+    let remote_replica = Candidate {
         remote: true,
         ..replica(0, 30)
     };
 
-    assert!((0..10).all(|turn| placement::order(&[far, replica(0, 30)], turn)[0] == 1));
+    assert!((0..10)
+        .all(|rotation| placement::order(&[remote_replica, replica(0, 30)], rotation)[0] == 1));
 }
 
 #[parameterized(
@@ -165,17 +165,17 @@
     few_slots_and_many_proxies = { 33, 1, 10, 2 },
     more_proxies_than_connections = { 33, 5, 100, 1 },
     no_proxy_known = { 33, 5, 0, 15 },
-    hardly_any_connections = { 2, 5, 7, 1 },
+    very_few_connections = { 2, 5, 7, 1 },
 )]
-fn shares(max_connections: u32, slots: u32, members: usize, expected: usize) {
+fn connections_per_proxy(max_connections: u32, slots: u32, members: usize, expected: usize) {
     assert_eq!(
         share::connections(max_connections, slots, members),
         expected
     );
 }
 
-/// Two of seven proxies lose the store but hold their connections: if the others took their shares,
-/// the servers would refuse connections to all.
+/// Two of seven proxies lose the store but keep their connections. If the others claimed these shares at
+/// once, the servers would reach their connection limits.
 #[test]
 fn proxy_that_lost_the_store_keeps_its_share() {
     let mut members = Members::default();
@@ -196,11 +196,10 @@
     }
 }
 
-/// A primary has more work than it can do. Of those that wait one is past its target, one has no time
-/// left before its deadline, and one came later and can still be answered in time: that one is next, and
-/// the one without time hears so now.
+/// Under overload, one queued statement is past its target, one cannot finish before its deadline, and one
+/// can still meet its target. The last runs next, and the second is refused at once.
 #[test]
-fn waiting_statement_that_can_be_on_time_goes_first() {
+fn statement_that_can_meet_its_target_goes_first() {
     let entries = [queued(900, 1_500), queued(700, 1_010), queued(1_300, 1_900)];
 
     let selection = admission::select(&entries, millis(60), at(1_000));
@@ -208,10 +207,10 @@
     assert_eq!((selection.next, selection.too_late), (Some(2), vec![1]));
 }
 
-/// A late answer is still worth something to its caller: where nobody can be on time, those past their
-/// target are served in their order.
+/// A late answer is still useful to its caller. If no queued statement can meet its target, they run in
+/// order.
 #[test]
-fn late_statements_are_served_when_nobody_else_waits() {
+fn late_statements_run_in_order_if_no_other_waits() {
     let entries = [queued(900, 1_500), queued(950, 1_500)];
 
     let selection = admission::select(&entries, millis(60), at(1_000));
@@ -219,10 +218,10 @@
     assert_eq!((selection.next, selection.too_late), (Some(0), Vec::new()));
 }
 
-/// Half again as much work as four connections can do comes for two seconds, all with a target of 400 ms
-/// and a deadline of a second, every fourth statement ranked higher; returns how many were served on
-/// time and how many late.
-fn overload(judge: impl Fn(&[Queued], u64) -> Selection) -> (usize, usize) {
+/// Simulates two seconds of more load than the connections can serve, with a target of 400 ms and a
+/// deadline of 1 s. Every fourth statement has a higher priority. `select` picks the next statement;
+/// returns how many met their target and how many were late.
+fn overload(select: impl Fn(&[Queued], u64) -> Selection) -> (usize, usize) {
     let (connections, hold) = (4, 40);
     let mut waiting: Vec<(u32, Queued)> = Vec::new();
     let mut free_at = vec![0u64; connections];
@@ -230,20 +229,20 @@
     for now in 0..3_000u64 {
         if now < 2_000 && now % 7 == 0 {
             let priority = u32::from(now % 28 != 0);
-            let place = waiting.iter().position(|(other, _)| *other > priority);
-            let place = place.unwrap_or(waiting.len());
+            let position = waiting.iter().position(|(other, _)| *other > priority);
+            let position = position.unwrap_or(waiting.len());
             let queue = Queue {
-                waiting: place,
+                waiting: position,
                 connections,
                 hold: millis(hold),
             };
             if matches!(admission::decide(queue, millis(400)), Decision::Wait { .. }) {
-                waiting.insert(place, (priority, queued(now + 400, now + 1_000)));
+                waiting.insert(position, (priority, queued(now + 400, now + 1_000)));
             }
         }
         for free in free_at.iter_mut().filter(|free| **free <= now) {
             let entries: Vec<Queued> = waiting.iter().map(|(_, queued)| *queued).collect();
-            let Selection { next, too_late } = judge(&entries, now);
+            let Selection { next, too_late } = select(&entries, now);
             if let Some(next) = next {
                 *free = now + hold;
                 match at(now + hold) <= entries[next].due {
@@ -254,17 +253,17 @@
             let mut index = 0..;
             waiting.retain(|_| {
                 let index = index.next();
-                index != next && !too_late.iter().any(|gone| Some(*gone) == index)
+                index != next && !too_late.iter().any(|dropped| Some(*dropped) == index)
             });
         }
     }
     (on_time, late)
 }
 
-/// In order of rank alone 146 are served on time and 82 late, as each has waited behind others that were.
-/// Judged again when a connection is free it is 206 and 22.
+/// Guards against serving the queue in order of priority alone, where late statements delay those behind
+/// them until these are late as well.
 #[test]
-fn overload_serves_more_on_time_when_the_queue_is_judged_again() {
+fn selection_serves_more_on_time_under_overload() {
     let in_order = |entries: &[Queued], _| Selection {
         next: (!entries.is_empty()).then_some(0),
         too_late: Vec::new(),
