--- a/crates/engine/tests/mirror.rs
+++ b/crates/engine/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What a proxy tells others of the store's content.
+//! The copy of the store's content that a relay keeps, and the updates that it sends to followers.
 
 use dandelionpitch_engine::{
     era,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A mirror that read everything at revision 10 and was told of changes up to 13.
+/// A mirror that received a snapshot at revision 10 and changes up to 13.
 fn mirror() -> Mirror<&'static str> {
     let mut mirror = Mirror::default();
     let all = [written("config", 4, "v1"), written("server", 9, "up")];
@@ -46,48 +46,48 @@
 }
 
 #[test]
-fn follower_is_told_what_it_has_missed() {
+fn follower_gets_the_changes_that_it_has_missed() {
     let mirror = mirror();
 
-    let told = mirror.since(11);
+    let sent = mirror.since(11);
 
     let missed = [written("config", 12, "v2"), removed("server", 13)];
-    assert_eq!(told, update(13, false, &missed));
+    assert_eq!(sent, update(13, false, &missed));
     assert_eq!(mirror.since(13), update(13, false, &[]));
 }
 
-/// A follower has reached a revision before the mirror's first list. What was removed until then is
-/// not known here, so it is told everything, and drops what is not in it.
+/// A follower is at a revision before the mirror's first snapshot. The mirror does not know what was
+/// removed in between, so the follower gets a snapshot and drops the keys that are not in it.
 #[test]
-fn follower_from_before_the_first_list_is_told_everything() {
+fn follower_behind_the_first_snapshot_gets_a_snapshot() {
     let mirror = mirror();
     let mut follower = Mirror::default();
     follower.apply(&update(3, true, &[written("gone", 2, "x")]));
 
-    let told = mirror.since(3);
-    follower.apply(&told);
+    let sent = mirror.since(3);
+    follower.apply(&sent);
 
-    assert!(told.is_snapshot);
+    assert!(sent.is_snapshot);
     assert_eq!(follower.since(0).changes, [written("config", 12, "v2")]);
 }
 
-/// A follower turns from one source to another that is behind the first. Its updates are older than
-/// what the follower has: taken, they would put an earlier configuration back in force.
+/// A follower switches to a source that is behind the previous one. Applied, its older updates would bring
+/// back an earlier configuration.
 #[test]
-fn older_updates_change_nothing() {
+fn older_updates_are_ignored() {
     let mut mirror = mirror();
 
-    let taken = mirror.apply(&update(11, true, &[written("config", 4, "v1")]));
+    let applied = mirror.apply(&update(11, true, &[written("config", 4, "v1")]));
 
-    assert!(!taken);
+    assert!(!applied);
     assert_eq!(mirror.revision(), 13);
     assert_eq!(mirror.since(0).changes, [written("config", 12, "v2")]);
 }
 
-/// The store has forgotten its history, so the mirror is read anew, and a server's entry is not there any
-/// more. A follower that is not behind that far is told of the removal all the same.
+/// The store has compacted its history, so the mirror reads a snapshot, which lacks a server's entry. A
+/// follower that is recent enough to get only changes must still get the removal.
 #[test]
-fn removals_found_by_reading_anew_are_told() {
+fn removals_found_in_a_snapshot_are_relayed() {
     let mut mirror = mirror();
     mirror.apply(&update(14, false, &[written("other", 14, "y")]));
 
@@ -96,14 +96,13 @@
     assert_eq!(mirror.since(14), update(20, false, &[removed("other", 20)]));
 }
 
-/// Entries come and go by the thousand. The removals that are remembered are bounded; whoever has
-/// missed a forgotten one is told everything.
+/// The number of removals kept is bounded. A follower that has missed a discarded one gets a snapshot.
 #[test]
-fn forgotten_removals_are_made_good_by_telling_everything() {
+fn follower_that_missed_discarded_removals_gets_a_snapshot() {
     let mut mirror = mirror();
     for revision in (14..10_000).step_by(2) {
-        let come_and_gone = [written("k", revision, "x"), removed("k", revision + 1)];
-        mirror.apply(&update(revision + 1, false, &come_and_gone));
+        let changes = [written("k", revision, "x"), removed("k", revision + 1)];
+        mirror.apply(&update(revision + 1, false, &changes));
     }
 
     assert!(mirror.since(13).is_snapshot);
@@ -111,46 +110,46 @@
     assert!(mirror.since(9_900).changes.len() < 100);
 }
 
-/// The store came back from a copy and counts from there. Guards against a follower that keeps what is gone,
-/// or takes what has changed since for all there is.
+/// The store was restored from a backup, and its revisions continue from there. Guards against a mirror
+/// that keeps keys which the restored store lacks, or takes changes alone for the whole content.
 #[test]
-fn later_era_begins_with_everything() {
+fn later_era_starts_with_a_snapshot() {
     let mut mirror = mirror();
-    let again = |revision| era::stamp(1, revision);
+    let restored = |revision| era::stamp(1, revision);
 
-    let changes = mirror.apply(&update(
-        again(9),
+    let changes_applied = mirror.apply(&update(
+        restored(9),
         false,
-        &[written("config", again(9), "v3")],
+        &[written("config", restored(9), "v3")],
     ));
-    let whole = mirror.apply(&update(
-        again(8),
+    let snapshot_applied = mirror.apply(&update(
+        restored(8),
         true,
-        &[written("config", again(4), "v1")],
+        &[written("config", restored(4), "v1")],
     ));
     mirror.apply(&update(
-        again(9),
+        restored(9),
         false,
-        &[written("server", again(9), "up")],
+        &[written("server", restored(9), "up")],
     ));
-    let told = mirror.since(13);
+    let sent = mirror.since(13);
 
-    assert!(!changes && whole);
+    assert!(!changes_applied && snapshot_applied);
     let all = [
-        written("config", again(4), "v1"),
-        written("server", again(9), "up"),
+        written("config", restored(4), "v1"),
+        written("server", restored(9), "up"),
     ];
-    assert_eq!(told, update(again(9), true, &all));
+    assert_eq!(sent, update(restored(9), true, &all));
 }
 
-/// Guards against a source that has not heard of the restore yet and puts what is gone back.
+/// Guards against a source that does not know of a restore yet and would bring back removed keys.
 #[test]
-fn earlier_era_changes_nothing() {
+fn updates_of_an_earlier_era_are_ignored() {
     let mut mirror = mirror();
     mirror.apply(&update(era::stamp(1, 2), true, &[]));
 
-    let taken = mirror.apply(&update(4_000, true, &[written("config", 12, "v2")]));
+    let applied = mirror.apply(&update(4_000, true, &[written("config", 12, "v2")]));
 
-    assert!(!taken);
+    assert!(!applied);
     assert_eq!(mirror.since(0).changes, []);
 }
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Which proxies hold the connections of a group, and to whom the others hand their statements.
+//! Which proxies own the connections to a group, and to which proxies the others forward statements.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The owners of a group, as each proxy sees it for itself.
+/// The proxies that own a group according to their own plans.
 fn owners(peers: &[Peer], service: &str, limits: Limits) -> Vec<String> {
     let allocation = Allocation::new(peers.len(), DCS.len(), limits);
     let owns =
@@ -37,16 +37,15 @@
     owners.map(|peer| peer.id.clone()).collect()
 }
 
-/// 75 proxies stand before servers that take 49 connections. With connections of their own they would
-/// ask for 150 and be turned away by the thousand; with a few owners in each data centre half of the
-/// room stays free, for connections of owners that are gone and still count.
+/// If every proxy of a large deployment opened connections, the servers would refuse most of them. The
+/// connections of all owners together must fit into a server's limit.
 #[parameterized(
     small_fleet_and_small_servers = { 8, 21, 3 },
     small_fleet = { 7, 33, 5 },
     large_fleet = { 75, 49, 5 },
-    large_fleet_and_roomy_servers = { 61, 157, 5 },
-    hundreds = { 300, 49, 6 },
-    hardly_any_connections = { 75, 6, 1 },
+    large_fleet_and_large_servers = { 61, 157, 5 },
+    hundreds_of_proxies = { 300, 49, 6 },
+    very_few_connections = { 75, 6, 1 },
 )]
 fn connections_of_all_owners_fit(members: usize, max_connections: u32, slots: u32) {
     let limits = limits(max_connections, slots);
@@ -63,8 +62,8 @@
     );
 }
 
-/// With connections for all twice over, as those of former lives still count for a while, a statement takes
-/// no hop more than it has to.
+/// If the connections suffice for twice the number of proxies, every proxy has its own, which saves
+/// forwarding. Twice, because a server still counts the connections of failed proxies for a while.
 #[parameterized(
     four_before_21 = { 4, 21, 3, true },
     eight_before_21 = { 8, 21, 3, false },
@@ -72,16 +71,21 @@
     seven_before_33 = { 7, 33, 5, true },
     seventy_five_before_49 = { 75, 49, 5, false },
 )]
-fn small_fleets_hold_their_own(members: usize, most: u32, slots: u32, expected: bool) {
-    let allocation = Allocation::new(members, DCS.len(), limits(most, slots));
+fn proxies_of_small_fleets_have_own_connections(
+    members: usize,
+    max_connections: u32,
+    slots: u32,
+    expected: bool,
+) {
+    let allocation = Allocation::new(members, DCS.len(), limits(max_connections, slots));
 
     assert_eq!(matches!(allocation, Allocation::All { .. }), expected);
 }
 
-/// Every proxy names owners of its own data centre first and all name the same: if each named
-/// others, a group would have as many owners as proxies.
+/// Every proxy lists the owners of its own data centre first, and all proxies choose the same owners.
+/// Otherwise a group could have as many owners as there are proxies.
 #[test]
-fn all_proxies_name_the_same_owners() {
+fn all_proxies_choose_the_same_owners() {
     let peers = peers(75);
     let limits = limits(49, 5);
     let owners = owners(&peers, "ledger", limits);
@@ -106,8 +110,8 @@
     assert_eq!(owners.len(), 6);
 }
 
-/// An owner is lost: only the groups that it owned move, and a proxy that was named as a spare takes
-/// its place, so callers who were sent there meanwhile stay.
+/// Guards against moving other groups than those of the owner that was lost, which would move their
+/// statements to other proxies as well.
 #[test]
 fn lost_owner_moves_only_its_own_groups() {
     let before = peers(75);
@@ -117,19 +121,19 @@
 
     for group in (0..8).map(|group| format!("group-{group}")) {
         let mut kept = owners(&before, &group, limits);
-        let owned = kept.contains(&lost);
+        let owned_by_lost = kept.contains(&lost);
         kept.retain(|id| *id != lost);
         let now = owners(&after, &group, limits);
 
         assert!(kept.iter().all(|id| now.contains(id)));
-        assert_eq!(now.len() - kept.len(), usize::from(owned));
+        assert_eq!(now.len() - kept.len(), usize::from(owned_by_lost));
     }
 }
 
-/// VMs differ: one with a link of 10 Mbit/s cannot pass on what one of 200 can. Over many groups each
-/// owns in proportion to what it can run.
+/// A VM with little CPU and a slow network link can serve fewer forwarded statements, so it must own fewer
+/// groups.
 #[test]
-fn weak_vms_own_less() {
+fn vms_with_low_capacity_own_fewer_groups() {
     let mut peers = peers(30);
     for peer in peers.iter_mut().take(15) {
         peer.capacity = ownership::capacity(0.12, 10.0);
@@ -147,28 +151,32 @@
     assert!(weak * 3 < all.len(), "{weak} of {}", all.len());
 }
 
-/// One owner says that it cannot run a statement; the next may. A failure of the statement itself, one
-/// that may have run, or one that has waited too long is not offered elsewhere.
+/// A statement that an owner refuses without running it is forwarded to the next one. A statement that
+/// failed, may have run, was refused twice or has waited too long is not.
 #[parameterized(
     not_run = { Code::Busy, 1, 20, true },
-    second_answer = { Code::Busy, 2, 20, false },
-    waited = { Code::Busy, 1, 200, false },
+    refused_twice = { Code::Busy, 2, 20, false },
+    waited_too_long = { Code::Busy, 1, 200, false },
     failed = { Code::Failed, 1, 20, false },
-    unknown = { Code::Unknown, 1, 20, false },
+    unknown_outcome = { Code::Unknown, 1, 20, false },
 )]
-fn statement_is_offered_to_the_next_owner(code: Code, offers: usize, waited: u64, expected: bool) {
+fn statement_is_forwarded_to_the_next_owner(
+    code: Code,
+    attempts: usize,
+    waited: u64,
+    expected: bool,
+) {
     let waited = Duration::from_millis(waited);
 
-    let again = forwarding::may_retry(code, offers, waited, Duration::from_millis(400));
+    let retry = forwarding::may_retry(code, attempts, waited, Duration::from_millis(400));
 
-    assert_eq!(again, expected);
+    assert_eq!(retry, expected);
 }
 
-/// 75 proxies start within 0.3 s. One that is not yet known to the others, or to itself, owns nothing: if
-/// each took itself for an owner until it knows better, their first questions alone would be more
-/// connections than a server takes.
+/// Many proxies start at once. If each took itself for an owner before it is in the list, their first
+/// connections alone would exceed a server's limit.
 #[test]
-fn proxy_that_has_just_started_owns_nothing() {
+fn starting_proxy_owns_nothing() {
     let peers = peers(74);
     let allocation = Allocation::new(75, DCS.len(), limits(49, 5));
 
@@ -177,10 +185,10 @@
     assert!(matches!(plan, Plan::Forward { local, .. } if local.len() == 2));
 }
 
-/// Proxies are restarted in turn among many. Plans that are carried over from list to list are those that
-/// ranking everybody anew would give, whoever asks, also for the proxy that comes and goes itself.
+/// During a rolling restart, plans updated from change to change must equal those computed from the whole
+/// list, also on a proxy that is itself restarted.
 #[test]
-fn plans_carried_over_are_those_ranked_anew() {
+fn replanning_gives_the_same_plan_as_planning() {
     let all = peers(60);
     let allocation = Allocation::new(all.len(), DCS.len(), limits(49, 5));
     for query in [&all[0], &all[7], &all[30]] {
@@ -193,7 +201,7 @@
             let mut before = all.clone();
             let mut known = ownership::plan(&before, query.own, query.dc, service, allocation);
             for step in 0..120 {
-                // One goes, and the one that went before comes back.
+                // One proxy is removed, and the one removed in the previous step is added again.
                 let now: Vec<Peer> = (0..all.len())
                     .filter(|index| *index != step * 7 % all.len())
                     .map(|index| all[index].clone())
@@ -202,17 +210,17 @@
 
                 known = ownership::replan(&known, &change, &now, query, allocation);
 
-                let anew = ownership::plan(&now, query.own, query.dc, service, allocation);
-                assert_eq!(known, anew, "{query:?} step {step}");
+                let planned = ownership::plan(&now, query.own, query.dc, service, allocation);
+                assert_eq!(known, planned, "{query:?} step {step}");
                 before = now;
             }
         }
     }
 }
 
-/// A proxy comes back with another capacity: it counts as one that went and one that came.
+/// A proxy whose capacity changed counts as removed and added.
 #[test]
-fn proxy_that_says_something_else_is_ranked_again() {
+fn proxy_with_another_capacity_is_ranked_again() {
     let before = peers(60);
     let mut now = before.clone();
     now[30].capacity = 100_000.0;
@@ -225,11 +233,11 @@
     let known = ownership::plan(&before, query.own, query.dc, "a", allocation);
 
     let change = Change::new(&before, &now);
-    let carried = ownership::replan(&known, &change, &now, query, allocation);
+    let replanned = ownership::replan(&known, &change, &now, query, allocation);
 
     assert_eq!(
-        carried,
+        replanned,
         ownership::plan(&now, query.own, query.dc, "a", allocation)
     );
-    assert_ne!(carried, known);
+    assert_ne!(replanned, known);
 }
--- a/crates/engine/tests/roster.rs
+++ b/crates/engine/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Which servers may hold a commit that no other server holds.
+//! Which servers count for promotions, because they may be alone in having an acknowledged commit.
 
 use std::time::Duration;
 
@@ -37,8 +37,8 @@
     member(id, Role::Replica, lsn, asked)
 }
 
-/// Acknowledged writes vanish: the primary and the replica that acknowledged them are cut off
-/// together, their entries lapse, and the two servers left look like the whole group.
+/// The primary and the replica that acknowledged its last commits are partitioned together, and their
+/// entries expire. Guards against losing these commits because the rest looks like the whole group.
 #[test]
 fn vanished_servers_still_count() {
     let mut roster = Roster::default();
@@ -58,22 +58,22 @@
     assert_eq!(roster.len(), 4);
 }
 
-/// A replica leaves for good under a primary that goes on. A proxy that is cut off from the store goes
-/// on counting it for a while, so it matters until another has all that the primary had after that
-/// while; then it does not matter any more.
+/// A replica leaves for good while the primary continues. A proxy that is partitioned from the store may
+/// use a list with the replica until it expires, so the replica counts until enough others have all that
+/// the primary had after that.
 #[test]
-fn vanished_server_is_forgotten_once_others_have_everything() {
+fn vanished_server_is_dropped_once_others_have_its_commits() {
     let mut roster = Roster::default();
     let all = [
         primary("a", 20, 0),
         replica("b", 19, 0),
         replica("c", 19, 0),
     ];
-    let listed = LIST_VALIDITY.as_millis() as u64;
+    let validity_ms = LIST_VALIDITY.as_millis() as u64;
     roster.update(&all, at(0));
     roster.update(&[primary("a", 30, 900), replica("b", 29, 900)], at(1_000));
     let vanished = roster.len();
-    let early = 1_000 + listed;
+    let early = 1_000 + validity_ms;
     roster.update(
         &[primary("a", 31, early), replica("b", 31, early)],
         at(early + 100),
@@ -89,9 +89,10 @@
     assert_eq!((vanished, counted, roster.len()), (3, 3, 2));
 }
 
-/// The failover duty passes on after entries have lapsed: the list in the store is what counts.
+/// A new failover leader is elected after entries have expired. It must start from the members recorded
+/// in the store, not from those still registered.
 #[test]
-fn new_holder_goes_on_from_the_recorded_members() {
+fn new_failover_leader_starts_from_the_recorded_members() {
     let recorded = ["a", "b", "c"].map(Incarnation::from);
     let mut roster = Roster::new(&recorded, at(0));
 
@@ -100,10 +101,10 @@
     assert_eq!(roster.ids(), recorded);
 }
 
-/// The list in the store was changed by another holder after this one had read it: what it says counts,
-/// and a server that is not in sight counts as vanished.
+/// Another process has changed the recorded list since this one read it. Its servers are added; those that
+/// are not registered count as vanished.
 #[test]
-fn list_of_another_holder_is_taken_in() {
+fn list_of_another_process_is_merged() {
     let mut roster = Roster::new(&[], at(0));
     roster.update(&[primary("a", 20, 0), replica("b", 20, 0)], at(0));
 
@@ -112,12 +113,12 @@
     assert_eq!(roster.ids(), ["a", "b", "c"].map(Incarnation::from));
 }
 
-/// A server that is not registered any more is still sent commits. Guards against forgetting it because
-/// the others have what the primary had a while ago: it alone may confirm the next commit.
+/// A server that is no longer registered still receives commits. Guards against dropping it because the
+/// others have the earlier ones: it may be alone in confirming the next commit.
 #[test]
-fn vanished_server_that_still_receives_counts() {
-    let listed = LIST_VALIDITY.as_millis() as u64;
-    let left = |asked| [primary("a", 31, asked), replica("b", 31, asked)];
+fn vanished_server_in_use_counts() {
+    let validity_ms = LIST_VALIDITY.as_millis() as u64;
+    let remaining = |asked| [primary("a", 31, asked), replica("b", 31, asked)];
     let mut roster = Roster::default();
     roster.update(
         &[
@@ -127,20 +128,20 @@
         ],
         at(0),
     );
-    roster.update(&left(100), at(100));
+    roster.update(&remaining(100), at(100));
 
-    roster.note_in_use(&"c".into(), at(listed));
-    roster.update(&left(listed + 200), at(listed + 200));
-    let receiving = roster.len();
-    roster.update(&left(2 * listed + 200), at(2 * listed + 200));
+    roster.note_in_use(&"c".into(), at(validity_ms));
+    roster.update(&remaining(validity_ms + 200), at(validity_ms + 200));
+    let while_in_use = roster.len();
+    roster.update(&remaining(2 * validity_ms + 200), at(2 * validity_ms + 200));
 
-    assert_eq!((receiving, roster.len()), (3, 2));
+    assert_eq!((while_in_use, roster.len()), (3, 2));
 }
 
-/// Another process has seen that the others have everything of a vanished server. Guards against processes
-/// that remind each other of it for ever; one that is present is not forgotten on anybody's word.
+/// Another process has found that the others have all commits of a vanished server. Guards against
+/// processes that add it to each other's lists forever. A server that is present is not dropped.
 #[test]
-fn covered_server_is_forgotten() {
+fn covered_server_is_dropped() {
     let mut roster = Roster::new(&["c"].map(Incarnation::from), at(0));
     roster.update(&[primary("a", 20, 0), replica("b", 10, 0)], at(0));
 
