--- a/crates/engine/tests/session.rs
+++ b/crates/engine/tests/session.rs
@@ -1,4 +1,4 @@
-//! What a session's statements come to.
+//! How a session's statements are handled, depending on its state.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 const NOW: Moment = Moment::from_boot(Duration::from_secs(100));
 const BEGIN: Statement<'_> = Statement::Begin { read_only: false };
-const BEGIN_READING: Statement<'_> = Statement::Begin { read_only: true };
+const BEGIN_READ_ONLY: Statement<'_> = Statement::Begin { read_only: true };
 
 fn session(statements: &[Statement<'_>]) -> Session {
     let mut session = Session::default();
@@ -36,7 +36,7 @@
     }
 }
 
-/// Callers that pause after `BEGIN` take none of the scarce connections.
+/// A caller that pauses after `BEGIN` must not hold one of the few backend connections.
 #[test]
 fn begin_needs_no_server() {
     let mut session = Session::default();
@@ -51,13 +51,17 @@
     commit_alone = { &[], Statement::Commit, Code::Syntax },
     rollback_alone = { &[], Statement::Rollback, Code::Syntax },
     begin_inside = { &[BEGIN], BEGIN, Code::Syntax },
-    write_in_a_reading_transaction = { &[BEGIN_READING], Statement::Write, Code::Syntax },
+    write_in_a_read_only_transaction = { &[BEGIN_READ_ONLY], Statement::Write, Code::Syntax },
     unknown_name = { &[], Statement::Execute { name: "s", arguments: "" }, Code::NoStatement },
-    unknown_name_dropped = { &[], Statement::Deallocate { name: "s" }, Code::NoStatement },
+    unknown_name_deallocated = { &[], Statement::Deallocate { name: "s" }, Code::NoStatement },
     commit_after_a_failure = { &[BEGIN, BEGIN], Statement::Commit, Code::Aborted },
     read_after_a_failure = { &[BEGIN, BEGIN], Statement::Read, Code::Syntax },
 )]
-fn refusals(before: &[Statement<'_>], statement: Statement<'_>, expected: Code) {
+fn invalid_statements_are_refused(
+    before: &[Statement<'_>],
+    statement: Statement<'_>,
+    expected: Code,
+) {
     let mut session = session(before);
 
     let step = session.step(&statement, NOW);
@@ -65,7 +69,7 @@
     assert_eq!(code(&step), Some(expected));
 }
 
-/// After a failed transaction has been ended, the session is as good as new.
+/// Guards against a session that stays unusable after a failed transaction was rolled back.
 #[test]
 fn rollback_ends_a_failed_transaction() {
     let mut session = session(&[BEGIN, BEGIN]);
@@ -75,10 +79,10 @@
     assert_eq!((step, session.phase()), (Step::Done, Phase::Idle));
 }
 
-/// A caller rests too long inside a transaction, which is rolled back meanwhile. Its next statement
-/// must not run outside of it; it is told that nothing is kept.
+/// A transaction exceeded its idle timeout and was rolled back. Its next statement must not run outside of
+/// it, and the caller is told about the rollback.
 #[test]
-fn statement_after_a_long_rest_is_aborted() {
+fn statement_after_the_idle_timeout_is_aborted() {
     let mut session = session(&[BEGIN]);
     session.timed_out();
 
@@ -90,9 +94,10 @@
     assert_eq!(session.phase(), Phase::Failed);
 }
 
-/// Names are the session's own: another session's statement of the same name is another one.
+/// Names of prepared statements are local to a session, so an execution must carry the definition that
+/// its session prepared.
 #[test]
-fn prepared_name_runs_the_shape_that_its_session_prepared() {
+fn execute_runs_the_definition_that_its_session_prepared() {
     let mut session = session(&[prepare("s", true)]);
     let execute = Statement::Execute {
         name: "s",
@@ -104,24 +109,24 @@
     let Step::Run { effect, execution } = step else {
         panic!("{step:?}")
     };
-    let execution = execution.expect("a named statement");
+    let execution = execution.expect("a prepared statement");
     assert_eq!(effect, Effect::Write);
     assert!(execution.definition.writes);
     assert_eq!(execution.arguments, "1a4 x");
 }
 
 #[test]
-fn values_stay_with_the_session() {
-    let value = |value| Statement::Set { name: "n", value };
+fn variables_outlive_a_rollback() {
+    let set = |value| Statement::Set { name: "n", value };
 
-    let session = session(&[value("1"), BEGIN, value("2"), Statement::Rollback]);
+    let session = session(&[set("1"), BEGIN, set("2"), Statement::Rollback]);
 
     assert_eq!(session.variables().get("n").map(String::as_str), Some("2"));
 }
 
-/// A caller cannot fill the proxy's memory with names.
+/// Guards against a caller that fills the proxy's memory with variables.
 #[test]
-fn names_are_bounded() {
+fn number_of_variables_is_bounded() {
     let mut session = Session::default();
     let names: Vec<String> = (0..1_001).map(|n| format!("n{n}")).collect();
 
--- a/crates/engine/tests/takeover.rs
+++ b/crates/engine/tests/takeover.rs
@@ -61,95 +61,94 @@
     }
 }
 
-/// Callers get no writes through: the primary stops answering. It is replaced once it has been
-/// missed for long enough, not at the first lost answer.
+/// An unreachable primary is replaced after the timeout, not at the first failed request.
 #[test]
-fn silent_primary_is_replaced_after_a_while() {
-    let mut memory = Monitor::default();
-    memory.evaluate(
+fn unreachable_primary_is_replaced_after_the_timeout() {
+    let mut monitor = Monitor::default();
+    monitor.evaluate(
         &[primary("a", 5, 0), replica("b", 5, 0), replica("c", 5, 0)],
         at(0),
     );
-    let missing = [lost("a", 100), replica("b", 5, 100), replica("c", 5, 100)];
+    let members = [lost("a", 100), replica("b", 5, 100), replica("c", 5, 100)];
 
-    let early = memory.evaluate(&missing, at(300));
-    let later = memory.evaluate(&missing, at(600));
+    let early = monitor.evaluate(&members, at(300));
+    let later = monitor.evaluate(&members, at(600));
 
     assert_eq!(early, Decision::Undecided);
     assert_eq!(later, replace("a", Cause::Missing));
 }
 
-/// Another process takes the duty over while the primary is cut off: it has never seen it lead,
-/// and must still replace it.
+/// A new failover leader is elected while the primary is partitioned. It has never reached the primary and
+/// must still replace it.
 #[test]
-fn new_holder_replaces_a_primary_it_never_saw() {
-    let mut memory = Monitor::default();
+fn new_failover_leader_replaces_a_primary_it_never_reached() {
+    let mut monitor = Monitor::default();
     let members = [lost("a", 0), replica("b", 5, 0), replica("c", 5, 0)];
 
-    memory.evaluate(&members, at(0));
-    let verdict = memory.evaluate(&members, at(600));
+    monitor.evaluate(&members, at(0));
+    let decision = monitor.evaluate(&members, at(600));
 
     let cause = Cause::Leaderless;
-    assert_eq!(verdict, Decision::Replace { old: None, cause });
+    assert_eq!(decision, Decision::Replace { old: None, cause });
 }
 
-/// As above, and the new holder has asked everyone for the first time a while ago: it does not wait
-/// once more for what the silence already shows.
+/// As above, but the first status requests were sent some time ago. The timeout counts from then, not from
+/// the first evaluation.
 #[test]
-fn new_holder_counts_from_the_first_unanswered_question() {
-    let mut memory = Monitor::default();
+fn new_failover_leader_counts_from_the_first_failed_request() {
+    let mut monitor = Monitor::default();
     let members = [lost("a", 0), replica("b", 5, 0), replica("c", 5, 0)];
 
-    let verdict = memory.evaluate(&members, at(400));
+    let decision = monitor.evaluate(&members, at(400));
 
     let cause = Cause::Leaderless;
-    assert_eq!(verdict, Decision::Replace { old: None, cause });
+    assert_eq!(decision, Decision::Replace { old: None, cause });
 }
 
-/// The holder is suspended for two seconds between a question and its answer. On waking all its time
-/// limits are over, though the primary is sound: it must not be replaced on that.
+/// The failover leader is suspended during a status request. All its timeouts have expired when it
+/// resumes, but the primary is healthy and must not be replaced.
 #[parameterized(
     unanswered = { 250, 0 },
     suspended = { 2_000, 2_000 },
 )]
-fn suspension_does_not_count_as_silence(now: u64, since: u64) {
+fn suspension_does_not_count_as_unreachable_time(now: u64, since: u64) {
     assert_eq!(takeover::lost_since(at(0), at(now)), at(since));
 }
 
-/// Attempts that ended halfway leave the replicas held above the term of the primary that is promoted
-/// in the end. Its commits wait, because the replicas are held and not because they are cut off:
-/// replacing it once more would leave the next primary in the same state. They are let go.
+/// Abandoned attempts left the replicas held for a term above that of the primary promoted in the end. Its
+/// commits wait because the replicas are held, not because they are partitioned, and would also wait under
+/// the next primary. So the replicas are released instead.
 #[test]
-fn held_replicas_are_no_stall() {
-    let mut memory = Monitor::default();
+fn held_replicas_do_not_count_as_a_stall() {
+    let mut monitor = Monitor::default();
     let held = Status {
         held: 4,
         ..status(Role::Replica, 1, 466)
     };
     let members = |asked| {
-        let led = Sight::Answered(status(Role::Primary, 2, 470 + asked));
+        let leading = Sight::Answered(status(Role::Primary, 2, 470 + asked));
         let waits = Sight::Answered(held);
         [
-            member("a", led, asked),
+            member("a", leading, asked),
             member("b", waits, asked),
             member("c", waits, asked),
         ]
     };
 
-    let verdicts: Vec<Decision> = (0..=2_600)
+    let decisions: Vec<Decision> = (0..=2_600)
         .step_by(100)
-        .map(|millis| memory.evaluate(&members(millis), at(millis)))
+        .map(|millis| monitor.evaluate(&members(millis), at(millis)))
         .collect();
 
-    assert!(verdicts[..25]
+    assert!(decisions[..25]
         .iter()
-        .all(|verdict| *verdict == Decision::Healthy));
-    assert_eq!(verdicts.last(), Some(&Decision::Resume));
+        .all(|decision| *decision == Decision::Healthy));
+    assert_eq!(decisions.last(), Some(&Decision::Resume));
 }
 
-/// Holders change in the middle of an attempt, several times over. Each holds the replicas for one
-/// term more than the primary's, not than its predecessor did: the platform gives the promoted server
-/// the next term, and replicas held above it would not follow.
+/// Several failover leaders abandon an attempt. Each must hold the replicas for the term after the
+/// primary's, not after its predecessor's attempt: the platform gives the promoted server the term after
+/// the primary's, and replicas held for a later one would not follow it.
 #[test]
 fn attempts_hold_for_the_same_term() {
     let held = Status {
@@ -165,26 +164,26 @@
     assert_eq!(takeover::newest_term(&members), 1);
 }
 
-/// Commits hang: the primary writes, and none of its replicas receives anything.
+/// Guards against commits that wait forever because no replica receives them.
 #[test]
 fn primary_whose_replicas_receive_nothing_is_replaced() {
-    let mut memory = Monitor::default();
-    let mut verdict = Decision::Undecided;
+    let mut monitor = Monitor::default();
+    let mut decision = Decision::Undecided;
     for millis in (0..=1_000).step_by(100) {
-        let led = primary("a", 10 + millis, millis);
-        verdict = memory.evaluate(
-            &[led, replica("b", 5, millis), replica("c", 5, millis)],
+        let leading = primary("a", 10 + millis, millis);
+        decision = monitor.evaluate(
+            &[leading, replica("b", 5, millis), replica("c", 5, millis)],
             at(millis),
         );
     }
 
-    assert_eq!(verdict, replace("a", Cause::Stalled));
+    assert_eq!(decision, replace("a", Cause::Stalled));
 }
 
-/// Replicas are asked less often than the primary, so their answers are always a little older.
+/// Replicas are polled less often than the primary, so their reported positions are always older.
 #[test]
-fn replicas_that_follow_with_a_delay_are_no_stall() {
-    let mut memory = Monitor::default();
+fn older_replica_statuses_do_not_count_as_a_stall() {
+    let mut monitor = Monitor::default();
     for millis in (0..=5_000).step_by(100) {
         let followed = (millis / 500) * 500;
         let members = [
@@ -194,48 +193,48 @@
         ];
 
         assert_eq!(
-            memory.evaluate(&members, at(millis)),
+            monitor.evaluate(&members, at(millis)),
             Decision::Healthy,
             "{millis}"
         );
     }
 }
 
-/// The primary is to be stopped: it is replaced while it still runs.
+/// A primary that has announced that it will stop is replaced while it still runs.
 #[test]
 fn leaving_primary_is_replaced_at_once() {
-    let mut memory = Monitor::default();
+    let mut monitor = Monitor::default();
     let mut leaving = primary("a", 5, 0);
     leaving.leaving = true;
 
-    let verdict = memory.evaluate(&[leaving, replica("b", 5, 0)], at(0));
+    let decision = monitor.evaluate(&[leaving, replica("b", 5, 0)], at(0));
 
-    assert_eq!(verdict, replace("a", Cause::Leaving));
+    assert_eq!(decision, replace("a", Cause::Leaving));
 }
 
-/// A replica that receives nothing stays held after its primary was replaced. Replacing the new
-/// primary by it would lose everything acknowledged since.
+/// A replica stays held after its primary was replaced. Replacing the healthy new primary by it would lose
+/// every commit acknowledged since.
 #[test]
-fn held_replica_under_a_sound_primary_is_let_go() {
-    let mut memory = Monitor::default();
+fn held_replica_of_a_healthy_primary_is_released() {
+    let mut monitor = Monitor::default();
     let held = Status {
         held: 3,
         ..status(Role::Replica, 1, 5)
     };
     let members = |asked| {
-        let led = Sight::Answered(status(Role::Primary, 2, 90));
+        let leading = Sight::Answered(status(Role::Primary, 2, 90));
         let follower = Sight::Answered(status(Role::Replica, 2, 90));
         [
-            member("a", led, asked),
+            member("a", leading, asked),
             member("b", Sight::Answered(held), asked),
             member("c", follower, asked),
         ]
     };
 
-    memory.evaluate(&members(0), at(0));
-    let verdict = memory.evaluate(&members(2_600), at(2_600));
+    monitor.evaluate(&members(0), at(0));
+    let decision = monitor.evaluate(&members(2_600), at(2_600));
 
-    assert_eq!(verdict, Decision::Resume);
+    assert_eq!(decision, Decision::Resume);
 }
 
 #[parameterized(
@@ -259,7 +258,7 @@
     assert_eq!(chosen.map(|chosen| chosen.id.id.as_str()), expected);
 }
 
-/// With equal logs a server that stays goes before one that is about to leave.
+/// Of servers with equal logs, one that is not leaving is preferred.
 #[test]
 fn leaving_server_is_the_last_choice() {
     let mut leaving = fenced("z", 9);
@@ -281,11 +280,11 @@
     assert_eq!(fence::quorum(members, sync_replicas), expected);
 }
 
-/// A caller hears that its commit is kept, as replica b has it. Then b starts again under its id, and
-/// the primary is cut off before b has received anything. b as it is now and c, which was behind,
-/// must not look like all but one of the group: neither has the commit.
+/// A commit is confirmed because replica b has it. Then b restarts under its id, and the primary is
+/// partitioned before b has received anything again. The new incarnation of b and replica c, which was
+/// behind, must not form a quorum, as neither has the commit.
 #[test]
-fn replica_that_starts_again_does_not_stand_for_its_earlier_life() {
+fn restarted_replica_does_not_count_as_its_earlier_incarnation() {
     let before = [
         primary("a@1", 9, 0),
         replica("b@1", 9, 0),
@@ -306,15 +305,15 @@
     assert_eq!(fence::choose(quorum, &held, None), None);
 }
 
-/// As above, and the new life is not registered yet: only its log shows that it is another. A log that
-/// was cut at a change of the primary is still the same server's.
+/// As above, but the new incarnation is not registered yet, and only its log shows the restart. A log that
+/// was truncated when the primary changed still belongs to the same incarnation.
 #[parameterized(
     shorter = { 1, 4, true },
     as_long = { 1, 9, false },
     longer = { 1, 12, false },
-    cut_by_a_new_primary = { 2, 4, false },
+    truncated_by_a_new_primary = { 2, 4, false },
 )]
-fn log_that_has_become_shorter_shows_a_restart(term: u64, lsn: u64, expected: bool) {
+fn log_that_became_shorter_shows_a_restart(term: u64, lsn: u64, expected: bool) {
     let before = status(Role::Replica, 1, 9);
     let after = Status {
         term,
@@ -325,13 +324,11 @@
     assert_eq!(takeover::has_restarted(&before, &after), expected);
 }
 
-/// A holder that promoted a server two seconds ago has heard of the others since, but not of that
-/// one: it is busy, and its last answer is from before it led. Nobody seems to lead, though the others
-/// follow term 2, so somebody does. Taken for a group without a primary, it was replaced within half
-/// a second, and 40 commits that it had acknowledged by then were lost.
+/// A promoted server is busy, and its last status is older than its promotion. No member seems to lead, but
+/// the others follow its term. Guards against replacing it, which would lose commits that it acknowledged.
 #[test]
-fn answer_from_before_a_promotion_does_not_deny_it() {
-    let mut memory = Monitor::default();
+fn status_older_than_a_promotion_does_not_hide_the_primary() {
+    let mut monitor = Monitor::default();
     let followed = |id, asked| {
         let mut status = status(Role::Replica, 2, 700);
         status.received = Position { term: 2, lsn: 700 };
@@ -350,10 +347,10 @@
         ]
     };
 
-    let verdicts: Vec<Decision> = (200..=1_200)
+    let decisions: Vec<Decision> = (200..=1_200)
         .step_by(100)
-        .map(|millis| memory.evaluate(&members(millis), at(millis)))
+        .map(|millis| monitor.evaluate(&members(millis), at(millis)))
         .collect();
 
-    assert_eq!(verdicts, vec![Decision::Undecided; verdicts.len()]);
+    assert_eq!(decisions, vec![Decision::Undecided; decisions.len()]);
 }
