--- a/crates/engine/benches/fleet.rs
+++ b/crates/engine/benches/fleet.rs
@@ -54,11 +54,11 @@
     };
     let entries = PROXIES + 3 * GROUPS;
     let mut mirror = Mirror::default();
-    for (is_snapshot, known) in [(true, 0..entries), (false, entries..entries + BATCH)] {
+    for (is_snapshot, indexes) in [(true, 0..entries), (false, entries..entries + BATCH)] {
         mirror.apply(&Update {
-            revision: known.end as u64,
+            revision: indexes.end as u64,
             is_snapshot,
-            changes: known.map(change).collect(),
+            changes: indexes.map(change).collect(),
         });
     }
     mirror
@@ -82,13 +82,13 @@
     let allocation = Allocation::new(PROXIES, DCS, limits);
     let services: Vec<String> = (0..GROUPS).map(|group| format!("g{group}")).collect();
     let rank = |service: &String| ownership::plan(&before, OWN_ID, OWN_DC, service, allocation);
-    let known: Vec<Plan> = services.iter().map(rank).collect();
+    let plans: Vec<Plan> = services.iter().map(rank).collect();
 
     let full = median(|| services.iter().for_each(|s| drop(black_box(rank(s)))));
     let incremental = median(|| {
         let change = ownership::Change::new(&before, &now);
-        for (service, known) in services.iter().zip(&known) {
-            let plan = ownership::replan(known, &change, &now, query(service), allocation);
+        for (service, plan) in services.iter().zip(&plans) {
+            let plan = ownership::replan(plan, &change, &now, query(service), allocation);
             drop(black_box(plan));
         }
     });
--- a/crates/engine/tests/control.rs
+++ b/crates/engine/tests/control.rs
@@ -43,11 +43,11 @@
     let mut registry = registry(&["a", "b"]);
     registry.replace(Vec::new(), at(1_000));
 
-    let gone = registry.expire(at(3_000));
+    let expired = registry.expire(at(3_000));
     registry.replace(vec![server("a")], at(3_100));
     let later = registry.expire(at(1_000) + MISSING_TIMEOUT);
 
-    assert!(gone.is_empty());
+    assert!(expired.is_empty());
     assert_eq!(later, ["b"]);
     assert_eq!(registry.len(), 1);
 }
@@ -168,10 +168,10 @@
 #[test]
 fn leadership_is_acquired_only_under_a_valid_lease() {
     let mut election = Election::default();
-    let without = election.can_acquire(at(0));
+    let without_lease = election.can_acquire(at(0));
     election.note_renewal(at(0));
 
-    assert!(!without);
+    assert!(!without_lease);
     assert!(election.can_acquire(at(100)));
     assert!(!election.can_acquire(at(0) + LEASE_TTL));
 }
--- a/crates/engine/tests/delta.rs
+++ b/crates/engine/tests/delta.rs
@@ -23,12 +23,13 @@
     .into_bytes()
 }
 
-fn new_bytes(pieces: &[Piece]) -> usize {
-    let new = |piece: &Piece| match piece {
+/// The number of bytes that are not copied from the base.
+fn literal_bytes(pieces: &[Piece]) -> usize {
+    let length = |piece: &Piece| match piece {
         Piece::Literal(bytes) => bytes.len(),
         Piece::Copy { .. } => 0,
     };
-    pieces.iter().map(new).sum()
+    pieces.iter().map(length).sum()
 }
 
 /// Guards against a delta that grows with the configuration when only a few routes change.
@@ -45,7 +46,11 @@
             delta.apply(BASE_REVISION, &old).as_deref(),
             Some(new.as_slice())
         );
-        assert!(new_bytes(pieces) < 400, "{routes}: {}", new_bytes(pieces));
+        assert!(
+            literal_bytes(pieces) < 400,
+            "{routes}: {}",
+            literal_bytes(pieces)
+        );
         assert!(pieces.len() < 10, "{routes}: {}", pieces.len());
     }
 }
--- a/crates/engine/tests/freshness.rs
+++ b/crates/engine/tests/freshness.rs
@@ -195,7 +195,7 @@
     assert_eq!(freshness::has_commit(received, position(3, 40)), expected);
 }
 
-fn lsns(lsns: &[u64]) -> Vec<Position> {
+fn positions(lsns: &[u64]) -> Vec<Position> {
     let position = |lsn: &u64| Position { term: 3, lsn: *lsn };
     lsns.iter().map(position).collect()
 }
@@ -219,7 +219,7 @@
     sync_replicas: usize,
     expected: Option<u64>,
 ) {
-    let mark = freshness::quorum_watermark(at(500), &lsns(received), counted, sync_replicas);
+    let mark = freshness::quorum_watermark(at(500), &positions(received), counted, sync_replicas);
 
     let position = expected.map(|lsn| Position { term: 3, lsn });
     assert_eq!(mark.map(|mark| mark.position), position);
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -47,8 +47,8 @@
         match admission::decide(queue, target) {
             Decision::Wait { .. } => {
                 waiting += 1;
-                let turns = waiting.div_ceil(connections) as u32;
-                slowest = slowest.max(hold * (turns + 1));
+                let rounds = waiting.div_ceil(connections) as u32;
+                slowest = slowest.max(hold * (rounds + 1));
             }
             Decision::Refuse { retry_after } => {
                 refused += 1;
@@ -269,9 +269,15 @@
         too_late: Vec::new(),
     };
 
-    let before = overload(in_order);
-    let after = overload(|entries, now| admission::select(entries, millis(40), at(now)));
+    let by_priority = overload(in_order);
+    let by_selection = overload(|entries, now| admission::select(entries, millis(40), at(now)));
 
-    assert!(after.0 > before.0, "{before:?} {after:?}");
-    assert!(after.1 * 2 < before.1, "{before:?} {after:?}");
+    assert!(
+        by_selection.0 > by_priority.0,
+        "{by_priority:?} {by_selection:?}"
+    );
+    assert!(
+        by_selection.1 * 2 < by_priority.1,
+        "{by_priority:?} {by_selection:?}"
+    );
 }
