--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -15,7 +15,7 @@
 
 const WAIT: Duration = Duration::from_secs(20);
 /// Time in which writers write before and after a fault.
-const CALM: Duration = Duration::from_millis(300);
+const OBSERVATION_PERIOD: Duration = Duration::from_millis(300);
 /// Above the member's statement timeout in the bundle, so that a writer whose statement was
 /// under way when a cut began sends another one during the cut.
 const LONGER_THAN_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -28,7 +28,7 @@
     let site = Site::build(&Layout::new(name, dcs)).await;
     let start = |(index, proxy)| Writer::start(proxy, &format!("w{index}"));
     let writers = site.proxies.iter().enumerate().map(start).collect();
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     (site, writers)
 }
 
@@ -39,8 +39,8 @@
 }
 
 /// The servers that believe they lead, with their terms.
-async fn leaders(site: &Site, servers: &[usize]) -> Vec<(usize, u64)> {
-    let mut leaders = Vec::new();
+async fn reported_primaries(site: &Site, servers: &[usize]) -> Vec<(usize, u64)> {
+    let mut primaries = Vec::new();
     for &index in servers {
         let server = site.server(index).await;
         let messages = server
@@ -50,16 +50,16 @@
         for message in messages {
             if let tokio_postgres::SimpleQueryMessage::Row(row) = message {
                 if row.get("role") == Some("primary") {
-                    leaders.push((index, row.get("term").unwrap().parse().unwrap()));
+                    primaries.push((index, row.get("term").unwrap().parse().unwrap()));
                 }
             }
         }
     }
-    leaders
+    primaries
 }
 
 /// Waits until a proxy has claimed a term at which it has not promoted anyone yet.
-async fn claimed(site: &Site) -> bool {
+async fn wait_for_claim(site: &Site) -> bool {
     eventually(WAIT, || async {
         let record = site.primary_record().await;
         record.is_some_and(|record| record.server.is_none())
@@ -68,7 +68,7 @@
 }
 
 /// Waits until a write through proxy `index` is acknowledged.
-async fn writes_resume(site: &Site, index: usize, id: &str) {
+async fn wait_for_writes(site: &Site, index: usize, id: &str) {
     let resumed = eventually(WAIT, || async {
         let client = connect(&site.proxies[index], "member", "").await;
         client.simple_query(&insert(id)).await.is_ok()
@@ -78,7 +78,11 @@
 }
 
 /// Stops the writers and checks all they were told against the log of the recorded primary.
-async fn settle(site: &Site, writers: Vec<Writer>, since: Instant) -> (Vec<Attempt>, Violations) {
+async fn stop_and_check(
+    site: &Site,
+    writers: Vec<Writer>,
+    since: Instant,
+) -> (Vec<Attempt>, Violations) {
     let mut attempts = Vec::new();
     for writer in writers {
         attempts.extend(writer.stop().await);
@@ -99,13 +103,13 @@
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
     let exists = Instant::now();
-    tokio::time::sleep(CALM).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
+    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
 
     assert_eq!(broken, Violations::default());
     history::assert_writes_resumed(&attempts, exists);
     assert_eq!(record.term, 2, "one promotion was enough");
-    assert_eq!(leaders(&site, &[1, 2]).await.len(), 1);
+    assert_eq!(reported_primaries(&site, &[1, 2]).await.len(), 1);
 }
 
 /// Replica 2 is cut off while members write, so only replica 1 received their orders. Then the
@@ -117,14 +121,14 @@
     site.fault(1, "isolate", 2, "").await;
     site.fault(1, "slow_fence", 1, "300").await;
     let writers = vec![Writer::start(&site.proxies[0], "a")];
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
 
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
     site.fault(1, "join", 2, "").await;
     let exists = Instant::now();
-    tokio::time::sleep(CALM).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
+    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
 
     assert_eq!(broken, Violations::default());
     history::assert_writes_resumed(&attempts, exists);
@@ -168,12 +172,12 @@
     let record = site.wait_for_new_primary(1).await;
     let exists = Instant::now();
     tokio::time::sleep(LONGER_THAN_TIMEOUT).await;
-    let both = leaders(&site, &[0, 1, 2]).await;
+    let both = reported_primaries(&site, &[0, 1, 2]).await;
     let healed = Instant::now();
     site.partition_dc("dc-1", 0, false).await;
-    writes_resume(&site, 0, "after-heal").await;
-    tokio::time::sleep(CALM).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
+    wait_for_writes(&site, 0, "after-heal").await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
+    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
 
     assert_eq!(broken, Violations::default());
     assert_eq!(record.term, 2);
@@ -224,22 +228,22 @@
     }
 
     site.fault(1, "kill", 0, "").await;
-    let claimed = claimed(&site).await;
+    let claimed = wait_for_claim(&site).await;
     let claim = site.primary_record().await.expect("a claim");
     let paused = &site.proxies[claimant(&claim)];
     paused.process.set_paused(true);
     let record = site.wait_for_new_primary(2).await;
     paused.process.set_paused(false);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    writes_resume(&site, 0, "through-0").await;
-    writes_resume(&site, 1, "through-1").await;
+    wait_for_writes(&site, 0, "through-0").await;
+    wait_for_writes(&site, 1, "through-1").await;
 
     assert!(claimed);
     assert_eq!((claim.term, claim.server), (2, None));
     assert_eq!(record.term, 3);
     assert_eq!(site.primary_record().await, Some(record));
-    let leaders = leaders(&site, &[1, 2]).await;
-    assert!(matches!(leaders[..], [(_, 3)]), "{leaders:?}");
+    let primaries = reported_primaries(&site, &[1, 2]).await;
+    assert!(matches!(primaries[..], [(_, 3)]), "{primaries:?}");
 }
 
 /// The proxy's index in the name it claims under.
@@ -257,10 +261,13 @@
     site.fault(1, "freeze", 0, "").await;
     site.wait_for_new_primary(1).await;
     let exists = Instant::now();
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     site.fault(1, "thaw", 0, "").await;
-    let stepped_down = eventually(WAIT, || async { leaders(&site, &[0]).await.is_empty() }).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
+    let stepped_down = eventually(WAIT, || async {
+        reported_primaries(&site, &[0]).await.is_empty()
+    })
+    .await;
+    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
 
     assert!(stepped_down);
     assert_eq!(broken, Violations::default());
@@ -275,7 +282,7 @@
 
     site.fault(0, "isolate", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
-    writes_resume(&site, 0, "order-1").await;
+    wait_for_writes(&site, 0, "order-1").await;
 
     assert_ne!(record.server.unwrap().to_string(), site.servers()[0]);
     let expected = record.server.map(|server| server.to_string());
@@ -296,7 +303,7 @@
         .await
         .expect("the replica holds term 5");
     let record = site.wait_for_new_primary(5).await;
-    writes_resume(&site, 0, "order-1").await;
+    wait_for_writes(&site, 0, "order-1").await;
     let followed = eventually(WAIT, || async {
         scalar(&server, "SELECT * FROM ledger WHERE id = 'order-1'")
             .await
--- a/crates/e2e/tests/failover/kv.rs
+++ b/crates/e2e/tests/failover/kv.rs
@@ -8,15 +8,15 @@
 async fn kv_answers_lost_after_applying() {
     let site = Site::build(&Layout::new("kv-lost", TWO_IN_ONE_DC)).await;
     let writers = vec![Writer::start(&site.proxies[0], "a")];
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     let lose = serde_json::json!({ "lose_answer": true });
     site.kv_fault("dc-1", lose).await;
 
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
     let exists = Instant::now();
-    tokio::time::sleep(CALM).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
+    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
 
     assert_eq!(broken, Violations::default());
     history::assert_writes_resumed(&attempts, exists);
@@ -36,10 +36,10 @@
     site.fault(1, "kill", 0, "").await;
     fixture::wait_for_no_primary(&site.proxies[0]).await;
     let told = refusal(&member, &insert("order-1")).await;
-    let while_down = leaders(&site, &[1, 2]).await;
+    let while_down = reported_primaries(&site, &[1, 2]).await;
     site.kv_fault("dc-1", serde_json::json!({})).await;
     let record = site.wait_for_new_primary(1).await;
-    writes_resume(&site, 0, "order-2").await;
+    wait_for_writes(&site, 0, "order-2").await;
 
     assert_eq!(told.as_deref(), Some("57P03"));
     assert_eq!(while_down, []);
@@ -59,17 +59,17 @@
     }
 
     site.fault(1, "kill", 0, "").await;
-    claimed(&site).await;
+    wait_for_claim(&site).await;
     site.kv_fault("dc-1", serde_json::json!({ "down": true }))
         .await;
-    writes_resume(&site, 0, "while-down").await;
+    wait_for_writes(&site, 0, "while-down").await;
     let while_down = site.primary_record().await.expect("the claim");
     site.kv_fault("dc-1", serde_json::json!({})).await;
     let record = site.wait_for_new_primary(1).await;
 
     assert_eq!((while_down.term, while_down.server), (2, None));
     assert_eq!(record.term, 2);
-    let leader = leaders(&site, &[1, 2]).await;
+    let leader = reported_primaries(&site, &[1, 2]).await;
     assert_eq!(leader.len(), 1);
     assert_eq!(
         record.server.unwrap().to_string(),
