--- a/crates/e2e/tests/assignment.rs
+++ b/crates/e2e/tests/assignment.rs
@@ -10,22 +10,22 @@
     insert, operator_json, scalar, Layout, Proxy, Site,
 };
 
-const WAIT: Duration = Duration::from_secs(20);
-const RECOVERY_LIMIT: Duration = Duration::from_secs(12);
-const CALM: Duration = Duration::from_millis(300);
-const SIX: &[&str] = &["dc-1", "dc-1", "dc-2", "dc-2", "dc-3", "dc-3"];
+const TIMEOUT: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
+const OBSERVATION_PERIOD: Duration = Duration::from_millis(300);
+const SIX_IN_THREE_DCS: &[&str] = &["dc-1", "dc-1", "dc-2", "dc-2", "dc-3", "dc-3"];
 
 /// A site of six proxies in three data centres, once the watchers have settled.
 async fn site(name: &str) -> (Site, Vec<usize>) {
-    site_with(name, "").await
+    start_site_with_settings(name, "").await
 }
 
 /// As [`site`], with `settings` appended to every proxy's.
-async fn site_with(name: &str, settings: &str) -> (Site, Vec<usize>) {
-    let mut layout = Layout::new(name, SIX);
+async fn start_site_with_settings(name: &str, settings: &str) -> (Site, Vec<usize>) {
+    let mut layout = Layout::new(name, SIX_IN_THREE_DCS);
     layout.settings = settings;
     let site = Site::build(&layout).await;
-    let settled = eventually(WAIT, || async { all_know_each_other(&site).await }).await;
+    let settled = eventually(TIMEOUT, || async { all_know_each_other(&site).await }).await;
     assert!(settled, "all six proxies know each other");
     let watchers = watchers(&site).await;
     (site, watchers)
@@ -75,7 +75,7 @@
         seen.push(scalar(&roamed, query).await);
     }
     let lookup = connect(others[1], "lookup", "").await;
-    let by_replica = eventually(WAIT, || async {
+    let by_replica = eventually(TIMEOUT, || async {
         let server = scalar(&lookup, "SHOW dandelionpitch.server").await;
         server.is_some_and(|server| server != "0")
     })
@@ -97,12 +97,12 @@
 async fn failover_reaches_proxies_that_do_not_watch() {
     let (site, watchers) = site("duty-failover").await;
     let writer = Writer::start(others(&site, &watchers)[0], "w");
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
 
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
     let since = Instant::now();
-    tokio::time::sleep(2 * CALM).await;
+    tokio::time::sleep(2 * OBSERVATION_PERIOD).await;
     let attempts = writer.stop().await;
     let rows = site.primary_rows(&record).await;
 
@@ -121,9 +121,9 @@
 /// there, on a connection it has or on one it has yet to open, must not wait for the limits
 /// of 20 and 30 s that hold for connections and statements, but be answered by another server.
 #[tokio::test]
-async fn frozen_replica_does_not_hold_up_reads() {
-    let patient = "[backend]\nconnect_timeout = \"20s\"\npool_wait = \"20s\"\n";
-    let (site, watchers) = site_with("duty-frozen", patient).await;
+async fn frozen_replica_does_not_delay_reads() {
+    let long_timeouts = "[backend]\nconnect_timeout = \"20s\"\npool_wait = \"20s\"\n";
+    let (site, watchers) = start_site_with_settings("duty-frozen", long_timeouts).await;
     let others = others(&site, &watchers);
     let warm = connect(others[0], "lookup", "").await;
     for _ in 0..10 {
@@ -147,7 +147,7 @@
 /// A watcher is killed. Its heartbeat's lease runs out, the others learn it from the KV, and
 /// another proxy takes over its part; nobody has to be told.
 #[tokio::test]
-async fn dead_watcher_is_succeeded() {
+async fn dead_watcher_is_replaced() {
     let (mut site, watchers) = site("duty-dead").await;
     let dead = watchers[0];
     let record = dandelionpitch_core::keys::proxy(&site.proxies[dead].dc, &format!("proxy-{dead}"));
@@ -155,13 +155,13 @@
     site.proxies[dead].process.kill();
     site.expire_lease(&record).await;
     site.proxies.remove(dead);
-    let succeeded = eventually(WAIT, || async {
+    let replaced = eventually(TIMEOUT, || async {
         let now = self::watchers(&site).await;
         now.len() == 3
     })
     .await;
 
-    assert!(succeeded, "{:?}", self::watchers(&site).await);
+    assert!(replaced, "{:?}", self::watchers(&site).await);
 }
 
 /// All three watchers of a group are killed at once, and its primary with them. Nobody is left who
@@ -180,26 +180,26 @@
     let took = since.elapsed();
 
     assert_eq!(record.term, 2);
-    assert!(took < RECOVERY_LIMIT, "took {took:?}");
+    assert!(took < RECOVERY_TIMEOUT, "took {took:?}");
 }
 
 /// A data centre loses the KV, and then the primary dies. The proxy there that does not watch
 /// the group hears nothing of the failover from the KV; it finds the new primary by asking the
 /// servers, and its members' writes go on.
 #[tokio::test]
-async fn failover_is_found_without_the_kv() {
+async fn failover_is_detected_without_the_kv() {
     let (site, watchers) = site("duty-no-kv").await;
     let other = others(&site, &watchers)[0];
     let down = serde_json::json!({ "down": true });
     site.kv_fault(&other.dc, down).await;
     let writer = Writer::start(other, "w");
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
 
     site.fault(1, "kill", 0, "").await;
     site.wait_for_new_primary(1).await;
-    tokio::time::sleep(2 * CALM).await;
+    tokio::time::sleep(2 * OBSERVATION_PERIOD).await;
     let since = Instant::now();
-    tokio::time::sleep(2 * CALM).await;
+    tokio::time::sleep(2 * OBSERVATION_PERIOD).await;
     let attempts = writer.stop().await;
 
     assert!(
--- a/crates/e2e/tests/bad_input.rs
+++ b/crates/e2e/tests/bad_input.rs
@@ -86,7 +86,7 @@
 /// backend connection closes; the caller gets SQLSTATE 08007 "outcome unknown" at once, not a
 /// hang, because the statement had been sent and may have run.
 #[tokio::test]
-async fn backend_gone_mid_query_answers_outcome_unknown() {
+async fn backend_lost_mid_query_returns_outcome_unknown() {
     let mut site = Site::start("gone", 1, 20).await;
     let client = connect(&site.proxies[0], "member", "").await;
     let running = tokio::spawn(async move {
--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -13,12 +13,12 @@
     insert, operator_json, refusal, scalar, Layout, Site,
 };
 
-const WAIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Time in which writers write before and after a fault.
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(300);
 /// Above the member's statement timeout in the bundle, so that a writer whose statement was
 /// under way when a cut began sends another one during the cut.
-const LONGER_THAN_TIMEOUT: Duration = Duration::from_millis(2500);
+const ABOVE_STATEMENT_TIMEOUT: Duration = Duration::from_millis(2500);
 const TWO_IN_ONE_DC: &[&str] = &["dc-1", "dc-1"];
 const TWO_DCS: &[&str] = &["dc-1", "dc-2"];
 
@@ -33,7 +33,7 @@
 }
 
 /// The address of the primary as proxy `index` sees it.
-async fn primary(site: &Site, index: usize) -> Option<String> {
+async fn primary_seen_by(site: &Site, index: usize) -> Option<String> {
     let report = operator_json(&site.proxies[index], "/status").await;
     report["groups"][0]["primary"].as_str().map(str::to_owned)
 }
@@ -60,7 +60,7 @@
 
 /// Waits until a proxy has claimed a term at which it has not promoted anyone yet.
 async fn wait_for_claim(site: &Site) -> bool {
-    eventually(WAIT, || async {
+    eventually(TIMEOUT, || async {
         let record = site.primary_record().await;
         record.is_some_and(|record| record.server.is_none())
     })
@@ -69,7 +69,7 @@
 
 /// Waits until a write through proxy `index` is acknowledged.
 async fn wait_for_writes(site: &Site, index: usize, id: &str) {
-    let resumed = eventually(WAIT, || async {
+    let resumed = eventually(TIMEOUT, || async {
         let client = connect(&site.proxies[index], "member", "").await;
         client.simple_query(&insert(id)).await.is_ok()
     })
@@ -89,8 +89,8 @@
     }
     let record = site.primary_record().await.expect("a record");
     let rows = site.primary_rows(&record).await;
-    let broken = history::check(&attempts, &rows, Some((record.term, since)));
-    (attempts, broken)
+    let violations = history::check(&attempts, &rows, Some((record.term, since)));
+    (attempts, violations)
 }
 
 /// Members write through two proxies when the primary dies. Both proxies miss it, one claims
@@ -102,12 +102,12 @@
 
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
-    let exists = Instant::now();
+    let promoted_at = Instant::now();
     tokio::time::sleep(OBSERVATION_PERIOD).await;
-    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
 
-    assert_eq!(broken, Violations::default());
-    history::assert_writes_resumed(&attempts, exists);
+    assert_eq!(violations, Violations::default());
+    history::assert_writes_resumed(&attempts, promoted_at);
     assert_eq!(record.term, 2, "one promotion was enough");
     assert_eq!(reported_primaries(&site, &[1, 2]).await.len(), 1);
 }
@@ -126,12 +126,12 @@
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
     site.fault(1, "join", 2, "").await;
-    let exists = Instant::now();
+    let promoted_at = Instant::now();
     tokio::time::sleep(OBSERVATION_PERIOD).await;
-    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
 
-    assert_eq!(broken, Violations::default());
-    history::assert_writes_resumed(&attempts, exists);
+    assert_eq!(violations, Violations::default());
+    history::assert_writes_resumed(&attempts, promoted_at);
     assert_eq!(record.server.unwrap().to_string(), site.servers()[1]);
 }
 
@@ -164,38 +164,39 @@
 /// proxy in data centre 2 promotes a replica. Members on the cut side get "outcome unknown" or
 /// "not run" but no acknowledgement; when the cut ends, their proxy follows the new primary.
 #[tokio::test]
-async fn primary_cut_off_while_leading() {
+async fn partitioned_primary_acknowledges_nothing() {
     let (site, writers) = site_with_writers("cut", TWO_DCS).await;
 
     site.partition_dc("dc-1", 0, true).await;
-    let cut = Instant::now();
+    let partitioned_at = Instant::now();
     let record = site.wait_for_new_primary(1).await;
-    let exists = Instant::now();
-    tokio::time::sleep(LONGER_THAN_TIMEOUT).await;
-    let both = reported_primaries(&site, &[0, 1, 2]).await;
-    let healed = Instant::now();
+    let promoted_at = Instant::now();
+    tokio::time::sleep(ABOVE_STATEMENT_TIMEOUT).await;
+    let primaries = reported_primaries(&site, &[0, 1, 2]).await;
+    let healed_at = Instant::now();
     site.partition_dc("dc-1", 0, false).await;
     wait_for_writes(&site, 0, "after-heal").await;
     tokio::time::sleep(OBSERVATION_PERIOD).await;
-    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
 
-    assert_eq!(broken, Violations::default());
+    assert_eq!(violations, Violations::default());
     assert_eq!(record.term, 2);
     assert!(
-        both.contains(&(0, 1)),
-        "the old primary still led: {both:?}"
+        primaries.contains(&(0, 1)),
+        "the old primary still led: {primaries:?}"
     );
-    let on_cut_side = |a: &&Attempt| a.id.starts_with("w0") && a.sent > cut && a.sent < healed;
-    let acked = |a: &Attempt| a.outcome == Outcome::Acked && a.answered < healed;
-    assert!(attempts.iter().filter(on_cut_side).count() > 0);
-    assert!(!attempts.iter().filter(on_cut_side).any(acked));
+    let on_partitioned_side =
+        |a: &&Attempt| a.id.starts_with("w0") && a.sent > partitioned_at && a.sent < healed_at;
+    let acked = |a: &Attempt| a.outcome == Outcome::Acked && a.answered < healed_at;
+    assert!(attempts.iter().filter(on_partitioned_side).count() > 0);
+    assert!(!attempts.iter().filter(on_partitioned_side).any(acked));
 }
 
 /// The same cut; a member writes through data centre 2 after the failover and roams to the cut
 /// side, once with its token and once without. The old primary there lacks the write, and must
 /// not serve the member's read: an error is right, an empty answer is not.
 #[tokio::test]
-async fn roaming_to_the_cut_side_reads_nothing_stale() {
+async fn reads_on_the_partitioned_side_are_not_stale() {
     let site = Site::build(&Layout::new("roam-cut", TWO_DCS)).await;
     site.partition_dc("dc-1", 0, true).await;
     site.wait_for_new_primary(1).await;
@@ -221,7 +222,7 @@
 /// waits out its claim and promotes at term 3. When the first goes on, unaware, the servers
 /// refuse its promotion: the term never goes back, and there is one primary.
 #[tokio::test]
-async fn claimant_paused_and_unaware() {
+async fn resumed_claimant_cannot_promote() {
     let site = Site::build(&Layout::new("paused", TWO_IN_ONE_DC)).await;
     for server in [1, 2] {
         site.fault(0, "slow_fence", server, "600").await;
@@ -260,18 +261,18 @@
 
     site.fault(1, "freeze", 0, "").await;
     site.wait_for_new_primary(1).await;
-    let exists = Instant::now();
+    let promoted_at = Instant::now();
     tokio::time::sleep(OBSERVATION_PERIOD).await;
     site.fault(1, "thaw", 0, "").await;
-    let stepped_down = eventually(WAIT, || async {
+    let stepped_down = eventually(TIMEOUT, || async {
         reported_primaries(&site, &[0]).await.is_empty()
     })
     .await;
-    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
 
     assert!(stepped_down);
-    assert_eq!(broken, Violations::default());
-    history::assert_writes_resumed(&attempts, exists);
+    assert_eq!(violations, Violations::default());
+    history::assert_writes_resumed(&attempts, promoted_at);
 }
 
 /// The primary answers the proxies but reaches no replica, so it can commit nothing. The
@@ -286,7 +287,10 @@
 
     assert_ne!(record.server.unwrap().to_string(), site.servers()[0]);
     let expected = record.server.map(|server| server.to_string());
-    let followed = eventually(WAIT, || async { primary(&site, 1).await == expected }).await;
+    let followed = eventually(TIMEOUT, || async {
+        primary_seen_by(&site, 1).await == expected
+    })
+    .await;
     assert!(followed, "the other proxy follows");
 }
 
@@ -294,7 +298,7 @@
 /// primary any more; the proxies see it outranks the primary and finish the change, after
 /// which all three servers are of one term again.
 #[tokio::test]
-async fn failover_stopped_halfway_is_finished() {
+async fn interrupted_failover_is_completed() {
     let site = Site::build(&Layout::new("halfway", TWO_IN_ONE_DC)).await;
 
     let server = site.server(2).await;
@@ -304,7 +308,7 @@
         .expect("the replica holds term 5");
     let record = site.wait_for_new_primary(5).await;
     wait_for_writes(&site, 0, "order-1").await;
-    let followed = eventually(WAIT, || async {
+    let followed = eventually(TIMEOUT, || async {
         scalar(&server, "SELECT * FROM ledger WHERE id = 'order-1'")
             .await
             .is_some()
@@ -319,7 +323,7 @@
 /// on and commits. Nothing of it may be kept: not the row before, and not the rows after, each
 /// of which would otherwise be a write of its own on the new primary.
 #[tokio::test]
-async fn open_transaction_dies_whole() {
+async fn open_transaction_is_rolled_back_entirely() {
     let site = Site::build(&Layout::new("tx", TWO_IN_ONE_DC)).await;
     let member = connect(&site.proxies[0], "member", "").await;
     member.simple_query("BEGIN").await.expect("begins");
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -10,10 +10,10 @@
     insert, operator_json, scalar, Layout, Site,
 };
 
-const WAIT: Duration = Duration::from_secs(20);
-const CALM: Duration = Duration::from_millis(300);
+const TIMEOUT: Duration = Duration::from_secs(20);
+const OBSERVATION_PERIOD: Duration = Duration::from_millis(300);
 /// How long a leaving server may still get new work.
-const LEAVING_LIMIT: Duration = Duration::from_secs(3);
+const DRAIN_GRACE: Duration = Duration::from_secs(3);
 const TWO_IN_ONE_DC: &[&str] = &["dc-1", "dc-1"];
 
 /// A member's transaction is open when its proxy is killed. The server sees the connection end
@@ -42,15 +42,15 @@
 /// string of several statements and leaves it open; the second one's write must not run inside
 /// it, where the first one's rollback would undo it.
 #[tokio::test]
-async fn script_does_not_leave_its_transaction_to_others() {
+async fn multi_statement_query_does_not_leak_its_transaction() {
     let mut layout = Layout::new("script", &["dc-1"]);
     layout.pool_size = 1;
     let site = Site::build(&layout).await;
     let first = connect(&site.proxies[0], "member", "").await;
     let second = connect(&site.proxies[0], "member", "").await;
-    let script = format!("BEGIN; {}", insert("script-1"));
+    let query = format!("BEGIN; {}", insert("script-1"));
 
-    first.simple_query(&script).await.expect("runs");
+    first.simple_query(&query).await.expect("runs");
     let refused = fixture::refusal(&second, &insert("early")).await;
     first.simple_query("ROLLBACK").await.expect("rolls back");
     second.simple_query(&insert("late")).await.expect("runs");
@@ -68,21 +68,21 @@
 /// were under way end as "outcome unknown" at the callers' timeout; the proxy notices by its own
 /// status reads, drops the idle connections, and later statements run on new ones.
 #[tokio::test]
-async fn connections_gone_silent() {
+async fn unresponsive_connections_are_replaced() {
     let site = Site::build(&Layout::new("silent", TWO_IN_ONE_DC)).await;
     let warm: Vec<Writer> = (0..4)
         .map(|index| Writer::start(&site.proxies[0], &format!("warm-{index}")))
         .collect();
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     for writer in warm {
         writer.stop().await;
     }
 
     site.fault(1, "silence", 0, "").await;
-    tokio::time::sleep(2 * CALM).await;
+    tokio::time::sleep(2 * OBSERVATION_PERIOD).await;
     let since = Instant::now();
     let writer = Writer::start(&site.proxies[0], "after");
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     let attempts = writer.stop().await;
     let rows = history::read_log(&site.server(0).await).await;
 
@@ -99,7 +99,7 @@
 /// Eight operators put versions 2 to 9 at the same moment. Each is told whether its version was
 /// accepted; the highest accepted one is in force on every proxy, and none goes back.
 #[tokio::test]
-async fn operators_race() {
+async fn concurrent_bundle_puts_converge() {
     let site = Site::build(&Layout::new("race", TWO_IN_ONE_DC)).await;
     let before: Vec<u64> = versions(&site).await;
 
@@ -108,13 +108,14 @@
         let puts: Vec<_> = (2..10)
             .map(|version| scope.spawn(move || (version, site_ref.put_bundle(version).0)))
             .collect();
-        let told = puts.into_iter().map(|put| put.join().unwrap());
-        told.filter(|(_, ok)| *ok)
+        let results = puts.into_iter().map(|put| put.join().unwrap());
+        results
+            .filter(|(_, ok)| *ok)
             .map(|(version, _)| version)
             .collect()
     });
     let highest = *accepted.iter().max().expect("one was accepted");
-    let in_force = eventually(WAIT, || async {
+    let is_applied = eventually(TIMEOUT, || async {
         versions(&site)
             .await
             .iter()
@@ -125,7 +126,7 @@
 
     assert_eq!(before, [1, 1]);
     assert!(
-        in_force,
+        is_applied,
         "accepted {accepted:?}, in force {:?}",
         versions(&site).await
     );
@@ -150,21 +151,21 @@
 /// commits, the resting session is closed at once, and the process ends by itself right after,
 /// without waiting out its limit.
 #[tokio::test]
-async fn planned_stop_cuts_nothing_off() {
+async fn graceful_shutdown_finishes_open_work() {
     let mut site = Site::build(&Layout::new("stop", &["dc-1"])).await;
     let slow = connect(&site.proxies[0], "lookup", "").await;
     let buyer = connect(&site.proxies[0], "member", "").await;
-    let resting = connect(&site.proxies[0], "member", "").await;
+    let idle = connect(&site.proxies[0], "member", "").await;
     buyer.simple_query("BEGIN").await.expect("begins");
     buyer.simple_query(&insert("tx-1")).await.expect("runs");
     let answer = tokio::spawn(async move {
         let sleep = "SELECT dandelionpitch_sleep(1000)";
         slow.simple_query(sleep).await
     });
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
 
     site.proxies[0].process.terminate();
-    let closed = eventually(CALM, || async { resting.is_closed() }).await;
+    let closed = eventually(OBSERVATION_PERIOD, || async { idle.is_closed() }).await;
     let ready = reqwest::get(format!("http://{}/ready", site.proxies[0].operator)).await;
     buyer.simple_query(&insert("tx-2")).await.expect("runs");
     buyer.simple_query("COMMIT").await.expect("commits");
@@ -185,7 +186,7 @@
 /// its own, whatever server runs its next statement, in a transaction and outside; a third one,
 /// who set nothing, must find none.
 #[tokio::test]
-async fn values_set_by_a_session_stay_its_own() {
+async fn session_variables_are_isolated() {
     let mut layout = Layout::new("values", &["dc-1"]);
     layout.pool_size = 1;
     let site = Site::build(&layout).await;
@@ -222,17 +223,17 @@
 /// The platform lists a replica as leaving. Within the time it is given, lookups stop being
 /// served by it, and the other replica serves them all.
 #[tokio::test]
-async fn leaving_replica_gets_no_new_reads() {
+async fn draining_replica_gets_no_new_reads() {
     let site = Site::build(&Layout::new("leaving", &["dc-1"])).await;
     let lookup = connect(&site.proxies[0], "lookup", "").await;
     let show = "SHOW dandelionpitch.server";
-    let served = eventually(WAIT, || async {
+    let served = eventually(TIMEOUT, || async {
         scalar(&lookup, show).await.as_deref() == Some("2")
     })
     .await;
 
     site.mark_leaving(2).await;
-    tokio::time::sleep(LEAVING_LIMIT).await;
+    tokio::time::sleep(DRAIN_GRACE).await;
     let mut servers = Vec::new();
     for _ in 0..200 {
         servers.push(scalar(&lookup, show).await.expect("an answer"));
@@ -245,18 +246,18 @@
 /// The platform lists the primary as leaving. A replica takes over before it is stopped, while
 /// members write; none of them is refused, and nothing goes to the old primary any more.
 #[tokio::test]
-async fn leaving_primary_is_replaced() {
+async fn draining_primary_is_replaced() {
     let site = Site::build(&Layout::new("leaving-primary", TWO_IN_ONE_DC)).await;
     let writers: Vec<Writer> = (0..2)
         .map(|index| Writer::start(&site.proxies[index], &format!("w{index}")))
         .collect();
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
 
     site.mark_leaving(0).await;
-    tokio::time::sleep(LEAVING_LIMIT).await;
+    tokio::time::sleep(DRAIN_GRACE).await;
     let record = site.primary_record().await.expect("a record");
     let since = Instant::now();
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     let mut attempts = Vec::new();
     for writer in writers {
         attempts.extend(writer.stop().await);
@@ -265,8 +266,8 @@
 
     assert_ne!(site.primary_index(&record), 0);
     assert_eq!(record.term, 2);
-    let broken = history::check(&attempts, &rows, Some((2, since)));
-    assert_eq!(broken, Violations::default());
+    let violations = history::check(&attempts, &rows, Some((2, since)));
+    assert_eq!(violations, Violations::default());
     let refused = |a: &&history::Attempt| a.outcome != Outcome::Acked;
     let refused: Vec<_> = attempts.iter().filter(refused).collect();
     assert!(refused.len() <= 2, "only what was under way: {refused:?}");
@@ -276,14 +277,14 @@
 /// there is no primary. The report counts only the last against the service level: one failed
 /// of twenty, at an objective of 99 %, burns five times the allowance.
 #[tokio::test]
-async fn burn_report_counts_what_the_proxy_failed() {
+async fn burn_report_counts_only_proxy_failures() {
     let site = Site::build(&Layout::new("burn", &["dc-1"])).await;
     let member = connect(&site.proxies[0], "member", "").await;
     for number in 0..18 {
         let query = insert(&format!("order-{number}"));
         member.simple_query(&query).await.expect("runs");
     }
-    let doubled = fixture::refusal(&member, &insert("order-0")).await;
+    let duplicate = fixture::refusal(&member, &insert("order-0")).await;
     site.kv_fault("dc-1", serde_json::json!({ "down": true }))
         .await;
     site.fault(1, "kill", 0, "").await;
@@ -302,7 +303,7 @@
     let (ok, text) = dpctl(&args);
     let (allowed, _) = dpctl(&["burn", "--objective", "100"]);
 
-    assert_eq!(doubled.as_deref(), Some("23505"));
+    assert_eq!(duplicate.as_deref(), Some("23505"));
     assert_eq!(no_primary.as_deref(), Some("57P03"));
     assert!(ok, "{text}");
     let last = text.lines().last().unwrap();
--- a/crates/e2e/tests/forwarding.rs
+++ b/crates/e2e/tests/forwarding.rs
@@ -8,15 +8,15 @@
 use fixture::line::{rows, Caller, Site, LATEST, SESSION};
 
 /// What the servers take: too few for seven proxies, so that one proxy holds all connections.
-const FEW: usize = 8;
+const MAX_CONNECTIONS: usize = 8;
 
 /// How long callers may be without service when the proxy that holds the connections is lost: its
 /// entry lapses after 4 s, and another one that is asked before that serves at once.
-const OWNER_LOST: Duration = Duration::from_secs(2);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A site of seven proxies of which one holds the connections; returns it and one that does not.
 async fn site(name: &str) -> (Site, usize, usize) {
-    let site = Site::start_with_max_connections(name, 7, FEW, &[]).await;
+    let site = Site::start_with_max_connections(name, 7, MAX_CONNECTIONS, &[]).await;
     let owner = site.wait_for_owners(1).await[0];
     let other = (owner + 1) % 7;
     (site, owner, other)
@@ -25,7 +25,7 @@
 /// Callers of all seven proxies work at once. All are served, and no server is ever asked for more
 /// connections than it takes: with connections of their own the proxies would ask for 14 of 8.
 #[tokio::test]
-async fn callers_of_every_proxy_are_served_within_the_connections() {
+async fn all_callers_are_served_within_the_connection_limit() {
     let (site, _, _) = site("within").await;
     let mut callers: Vec<Caller> = (0..7).map(|proxy| site.caller(proxy, SESSION)).collect();
 
@@ -37,14 +37,14 @@
         }
     }
 
-    let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
+    let rejected = site.group().await["turned_away"].clone();
+    assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
 /// Two sessions' statements go over the same connections between proxies. Neither may see the other's
 /// values, names or transaction.
 #[tokio::test]
-async fn values_names_and_transactions_stay_with_their_session() {
+async fn session_state_is_isolated_across_forwarding() {
     let (site, _, other) = site("apart").await;
     let mut callers = [site.caller(other, LATEST), site.caller(other, LATEST)];
     for (index, caller) in callers.iter_mut().enumerate() {
@@ -67,7 +67,7 @@
 
 /// A caller leaves in the middle of a transaction that another proxy runs for it: its writes are gone.
 #[tokio::test]
-async fn caller_that_leaves_inside_a_transaction_keeps_nothing() {
+async fn disconnect_in_a_forwarded_transaction_rolls_back() {
     let (site, _, other) = site("leaves-handed").await;
     for _ in 0..20 {
         let mut caller = site.caller(other, LATEST);
@@ -89,7 +89,7 @@
 /// Writes numbers until `until`; returns those that were acknowledged and those whose outcome is
 /// unknown. A refusal that says "not run" is repeated.
 fn write_numbers(caller: &mut Caller, until: Instant) -> (Vec<String>, Vec<String>) {
-    let (mut kept, mut unknown) = (Vec::new(), Vec::new());
+    let (mut acknowledged, mut unknown) = (Vec::new(), Vec::new());
     for number in 0.. {
         if Instant::now() > until {
             break;
@@ -97,13 +97,13 @@
         let data = format!("n{number}");
         let answer = caller.query(&format!("PUT numbers {data}"));
         match answer.code() {
-            _ if answer.is_done() => kept.push(data),
+            _ if answer.is_done() => acknowledged.push(data),
             "UNKNOWN" => unknown.push(data),
             "BUSY" => std::thread::sleep(Duration::from_millis(20)),
             other => panic!("{other}: {answer:?}"),
         }
     }
-    (kept, unknown)
+    (acknowledged, unknown)
 }
 
 /// What is done to the proxy that holds the connections.
@@ -134,28 +134,28 @@
         Loss::Frozen => site.proxies[owner].process.set_paused(true),
         Loss::Stopped => site.proxies[owner].process.terminate(),
     }
-    let waited = caller.query_until_done("PUT numbers after", OWNER_LOST * 2);
-    let (kept, unknown) = write_numbers(&mut caller, begun + Duration::from_secs(6));
+    let waited = caller.query_until_done("PUT numbers after", RECOVERY_TIMEOUT * 2);
+    let (acknowledged, unknown) = write_numbers(&mut caller, begun + Duration::from_secs(6));
     if matches!(loss, Loss::Frozen) {
         site.proxies[owner].process.set_paused(false);
     }
 
-    assert!(waited <= OWNER_LOST, "{waited:?}");
-    assert!(kept.len() > 20, "{} kept", kept.len());
-    for data in &kept {
+    assert!(waited <= RECOVERY_TIMEOUT, "{waited:?}");
+    assert!(acknowledged.len() > 20, "{} kept", acknowledged.len());
+    for data in &acknowledged {
         assert_eq!(site.count_in_log("numbers", data).await, 1, "{data}");
     }
     for data in &unknown {
         assert!(site.count_in_log("numbers", data).await <= 1, "{data}");
     }
-    let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
+    let rejected = site.group().await["turned_away"].clone();
+    assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
 /// A planned stop of the proxy that holds the connections: it goes on serving the others until they know,
 /// so a caller elsewhere notices nothing.
 #[tokio::test]
-async fn planned_stop_of_the_owner_cuts_nothing() {
+async fn graceful_shutdown_of_the_owner_refuses_nothing() {
     let (site, owner, other) = site("planned").await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT a before").is_done());
@@ -178,7 +178,7 @@
 
 /// The store is away and the proxies' entries lapse. Those who knew each other go on as before.
 #[tokio::test]
-async fn lapsed_entries_change_nothing_while_the_store_is_away() {
+async fn expired_heartbeats_are_ignored_while_the_store_is_down() {
     let (site, _, other) = site("lapsed").await;
     let mut caller = site.caller(other, LATEST);
 
@@ -187,17 +187,17 @@
     let during = caller.query("PUT a during");
     site.store_fault("down", false).await;
     let until = Instant::now() + Duration::from_secs(4);
-    let (kept, unknown) = write_numbers(&mut caller, until);
+    let (acknowledged, unknown) = write_numbers(&mut caller, until);
 
     assert!(during.is_done(), "{during:?}");
-    assert!(kept.len() > 20 && unknown.is_empty(), "{unknown:?}");
-    let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
+    assert!(acknowledged.len() > 20 && unknown.is_empty(), "{unknown:?}");
+    let rejected = site.group().await["turned_away"].clone();
+    assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
 /// A refused statement is found in the logs of both proxies under its id.
 #[tokio::test]
-async fn refusal_is_explained_by_both_proxies() {
+async fn refusal_is_logged_by_both_proxies() {
     let (site, owner, other) = site("explained").await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT a v").is_done());
@@ -231,9 +231,9 @@
             proxy.process.kill();
         }
     }
-    let waited = caller.query_until_done("PUT a after", OWNER_LOST * 2);
+    let waited = caller.query_until_done("PUT a after", RECOVERY_TIMEOUT * 2);
 
-    assert!(waited <= OWNER_LOST, "{waited:?}");
+    assert!(waited <= RECOVERY_TIMEOUT, "{waited:?}");
     assert!(caller.query("BEGIN").is_done());
     assert!(caller.query("PUT a inside").is_done());
     assert!(caller.query("COMMIT").is_done());
@@ -242,12 +242,12 @@
 /// Twelve proxies start together before servers that take eight connections. None takes itself for an owner
 /// before it knows the others: their first questions would be twelve connections to each server.
 #[tokio::test]
-async fn proxies_that_start_together_stay_within_the_connections() {
-    let site = Site::start_with_max_connections("together", 12, FEW, &[]).await;
+async fn proxies_started_together_respect_the_connection_limit() {
+    let site = Site::start_with_max_connections("together", 12, MAX_CONNECTIONS, &[]).await;
     site.wait_for_owners(1).await;
     let mut caller = site.caller(0, SESSION);
 
     assert!(caller.query("PUT a one").is_done());
-    let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
+    let rejected = site.group().await["turned_away"].clone();
+    assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
--- a/crates/e2e/tests/line.rs
+++ b/crates/e2e/tests/line.rs
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn statements_are_served_and_signed_by_the_server() {
+async fn answers_carry_the_sign_off_of_the_server() {
     let site = Site::start("served", 1).await;
     let mut caller = site.caller(0, LATEST);
 
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn reads_with_an_allowance_run_on_replicas() {
+async fn reads_with_a_staleness_bound_run_on_replicas() {
     let site = Site::start("replicas", 1).await;
     let mut caller = site.caller(0, SESSION);
     assert!(caller.query("PUT a one").is_done());
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn transaction_keeps_all_or_nothing() {
+async fn transaction_is_atomic() {
     let site = Site::start("transaction", 1).await;
     let mut caller = site.caller(0, LATEST);
 
@@ -89,7 +89,7 @@
 
 /// Two sessions share the few connections; neither may see the other's values or names.
 #[tokio::test]
-async fn values_and_names_stay_with_their_session() {
+async fn session_state_is_isolated() {
     let site = Site::start("names", 1).await;
     let mut callers = [site.caller(0, LATEST), site.caller(0, LATEST)];
     for (index, caller) in callers.iter_mut().enumerate() {
@@ -125,18 +125,18 @@
 /// A database is added and another dropped; open sessions follow with their next statement, and a
 /// version put late does not bring the old one back.
 #[tokio::test]
-async fn configuration_is_in_force_and_never_goes_back() {
+async fn configuration_is_applied_and_never_reverts() {
     let site = Site::start("config", 2).await;
     let mut dropped = site.caller(1, SESSION);
 
     site.configure(5, &[LATEST, "new-db"]).await;
     for proxy in 0..2 {
-        let in_force = fixture::eventually(Duration::from_secs(3), || async {
+        let is_applied = fixture::eventually(Duration::from_secs(3), || async {
             let mut caller = site.connect(proxy);
             caller.send("START new-db test");
             caller.next_line().starts_with("READY")
         });
-        assert!(in_force.await);
+        assert!(is_applied.await);
     }
     let gone = dropped.query("FETCH a");
     site.configure(4, &[SESSION]).await;
@@ -148,7 +148,7 @@
 
 /// Bytes that are no message end their own session and nobody else's.
 #[tokio::test]
-async fn bad_input_hurts_no_other_session() {
+async fn invalid_input_does_not_affect_other_sessions() {
     let site = Site::start("bad", 1).await;
     let mut other = site.caller(0, LATEST);
     let long = format!("QUERY id PUT a {}", "x".repeat(1 << 21));
@@ -158,12 +158,12 @@
         caller.send(bad);
         let _ = caller.next_line();
     }
-    let mut half = site.connect(0);
-    half.send("START");
-    drop(half);
-    let unclear = other.query("MAKE TEA");
+    let mut incomplete = site.connect(0);
+    incomplete.send("START");
+    drop(incomplete);
+    let invalid = other.query("MAKE TEA");
 
-    assert_eq!(unclear.code(), "SYNTAX");
+    assert_eq!(invalid.code(), "SYNTAX");
     assert!(other.query("PUT a one").is_done());
 }
 
@@ -181,7 +181,7 @@
 
 /// Statements sent without waiting are answered in order, each with its own answer.
 #[tokio::test]
-async fn statements_sent_together_are_answered_in_order() {
+async fn pipelined_statements_are_answered_in_order() {
     let site = Site::start("together", 1).await;
     let mut caller = site.caller(0, LATEST);
     for round in 0..10 {
@@ -219,7 +219,7 @@
 
 /// The settings file names what is wrong with it.
 #[test]
-fn bad_settings_are_refused_by_name() {
+fn invalid_setting_is_reported_by_name() {
     let path = std::env::temp_dir().join(format!("dp-line-bad-{}.toml", std::process::id()));
     let text =
         "id = \"p\"\ndc = \"d\"\nlisten = \"127.0.0.1:0\"\noperator_listen = \"127.0.0.1:0\"\n\
@@ -232,11 +232,11 @@
         .spawn()
         .expect("the binary starts");
     let status = child.wait().expect("it ends");
-    let mut said = String::new();
+    let mut message = String::new();
     let mut stderr = child.stderr.take().expect("stderr is piped");
-    stderr.read_to_string(&mut said).expect("text");
+    stderr.read_to_string(&mut message).expect("text");
     let _ = std::fs::remove_file(&path);
 
     assert_eq!(status.code(), Some(2));
-    assert!(said.contains("line.grace"), "{said}");
+    assert!(message.contains("line.grace"), "{message}");
 }
--- a/crates/e2e/tests/line_commits.rs
+++ b/crates/e2e/tests/line_commits.rs
@@ -7,24 +7,24 @@
 use fixture::line::{Caller, Site, LATEST};
 
 /// How long a promoter keeps the replicas held before it promotes one, and some more.
-const HOLD: Duration = Duration::from_millis(600);
+const REPLICA_PAUSE: Duration = Duration::from_millis(600);
 
 /// How long a statement takes from its caller to the primary's log, at most.
-const SENT: Duration = Duration::from_millis(50);
+const DELIVERY_TIME: Duration = Duration::from_millis(50);
 
 /// A site on which an old primary's commit waits for held replicas when server 2, which no other server
 /// reaches, is promoted; and the caller that waits for its answer.
-async fn commit_at_a_promotion(name: &str) -> (Site, Caller) {
+async fn pending_commit_at_promotion(name: &str) -> (Site, Caller) {
     let site = Site::start(name, 1).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("PUT a first").is_done());
     site.fault(2, "cut", true).await;
-    for held in [1, 2] {
-        assert!(site.send_command(held, "PAUSE 2").await.is_done());
+    for paused in [1, 2] {
+        assert!(site.send_command(paused, "PAUSE 2").await.is_done());
     }
-    tokio::time::sleep(HOLD).await;
+    tokio::time::sleep(REPLICA_PAUSE).await;
     caller.send("QUERY late PUT a second");
-    tokio::time::sleep(SENT).await;
+    tokio::time::sleep(DELIVERY_TIME).await;
     site.promote(2).await;
     (site, caller)
 }
@@ -36,7 +36,7 @@
 /// was run at 14.564 s, received by a replica at 15.121 s, acknowledged at 15.257 s, and lost.
 #[tokio::test]
 async fn commit_received_after_a_promotion_is_not_acknowledged() {
-    let (site, mut caller) = commit_at_a_promotion("late-commit").await;
+    let (site, mut caller) = pending_commit_at_promotion("late-commit").await;
 
     let answer = caller.read_answer();
 
@@ -50,7 +50,7 @@
 /// is proved to lead now: the caller must not hear that it is kept.
 #[tokio::test]
 async fn later_lease_of_another_primary_does_not_confirm_a_commit() {
-    let (site, mut caller) = commit_at_a_promotion("later-lease").await;
+    let (site, mut caller) = pending_commit_at_promotion("later-lease").await;
     let mut other = site.caller(0, LATEST);
 
     tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/e2e/tests/line_faults.rs
+++ b/crates/e2e/tests/line_faults.rs
@@ -9,14 +9,14 @@
 
 /// How long the promoter's list goes on counting a server that has vanished: until every proxy that
 /// still counted it has stopped, and a question to the others after that.
-const ROSTER_FORGETS: Duration = Duration::from_millis(7_500);
+const SERVER_REMOVAL_DELAY: Duration = Duration::from_millis(7_500);
 
 /// The holder's lease, a claim, and a failover.
-const BOTH_LOST_LIMIT: Duration = Duration::from_millis(4_500);
+const BOTH_LOST_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// A caller leaves in the middle of a transaction: its writes are gone, its connection is free.
 #[tokio::test]
-async fn caller_that_leaves_inside_a_transaction_keeps_nothing() {
+async fn disconnect_in_a_transaction_rolls_back() {
     let site = Site::start("leaves", 1).await;
     for _ in 0..20 {
         let mut caller = site.caller(0, LATEST);
@@ -33,7 +33,7 @@
 /// A caller rests inside a transaction for longer than allowed: the transaction is rolled back, and
 /// its next statement must not run outside of it.
 #[tokio::test]
-async fn rested_transaction_is_rolled_back_and_told_so() {
+async fn idle_transaction_times_out_and_aborts() {
     let site = Site::start("rests", 1).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("BEGIN").is_done());
@@ -49,25 +49,25 @@
 
 /// The store forgets its history while the configuration changes: the proxy reads everything anew.
 #[tokio::test]
-async fn configuration_is_followed_across_a_forgotten_history() {
+async fn configuration_is_applied_after_store_compaction() {
     let site = Site::start("history", 1).await;
 
     site.store_fault("down", true).await;
     site.configure(5, &[LATEST, "new-db"]).await;
     site.store_fault("forget", true).await;
     site.store_fault("down", false).await;
-    let in_force = fixture::eventually(Duration::from_secs(5), || async {
+    let is_applied = fixture::eventually(Duration::from_secs(5), || async {
         let mut caller = site.connect(0);
         caller.send("START new-db test");
         caller.next_line().starts_with("READY")
     });
 
-    assert!(in_force.await);
+    assert!(is_applied.await);
 }
 
 /// The store is down for good: what is in force stays in force.
 #[tokio::test]
-async fn proxy_serves_on_without_the_store() {
+async fn proxy_serves_without_the_store() {
     let site = Site::start("no-store", 1).await;
     let mut caller = site.caller(0, LATEST);
 
@@ -110,56 +110,56 @@
 /// centre. Nobody may replace the primary before the holder's lease has ended; writes go on soon after
 /// that.
 #[tokio::test]
-async fn primary_and_holder_lost_together() {
+async fn primary_and_failover_leader_lost_together() {
     let site = Site::start("both-lost", 3).await;
-    let holder = site.failover_leader().await;
-    let mut caller = site.caller((holder + 1) % 3, LATEST);
+    let failover_leader = site.failover_leader().await;
+    let mut caller = site.caller((failover_leader + 1) % 3, LATEST);
     assert!(caller.query("PUT a one").is_done());
 
-    site.proxies[holder].process.set_paused(true);
+    site.proxies[failover_leader].process.set_paused(true);
     site.fault(0, "dead", true).await;
     let gap = caller.query_until_done("PUT a two", FAILOVER_TIMEOUT * 2);
-    site.proxies[holder].process.set_paused(false);
+    site.proxies[failover_leader].process.set_paused(false);
 
     println!("write gap {gap:?}");
-    assert!(gap < BOTH_LOST_LIMIT, "{gap:?}");
+    assert!(gap < BOTH_LOST_TIMEOUT, "{gap:?}");
 }
 
 /// The holder of the failover duty gets SIGTERM in the middle of replacing a primary. It finishes
 /// first: its successor would have to begin anew, and might be stopped as well.
 #[tokio::test]
-async fn holder_that_is_stopped_finishes_its_attempt() {
+async fn stopped_failover_leader_finishes_its_attempt() {
     let site = Site::start("stopped-holder", 2).await;
-    let holder = site.failover_leader().await;
-    let mut caller = site.caller(1 - holder, LATEST);
+    let failover_leader = site.failover_leader().await;
+    let mut caller = site.caller(1 - failover_leader, LATEST);
     assert!(caller.query("PUT a one").is_done());
 
     site.fault(0, "dead", true).await;
-    let begun = fixture::eventually(FAILOVER_TIMEOUT, || async {
-        site.has_logged(holder, "\"kind\":\"failover\"")
+    let is_started = fixture::eventually(FAILOVER_TIMEOUT, || async {
+        site.has_logged(failover_leader, "\"kind\":\"failover\"")
     });
-    assert!(begun.await);
-    site.proxies[holder].process.terminate();
+    assert!(is_started.await);
+    site.proxies[failover_leader].process.terminate();
     caller.query_until_done("PUT a two", FAILOVER_TIMEOUT);
 
-    assert!(site.has_logged(holder, "\"kind\":\"promoted\""));
-    assert!(!site.has_logged(1 - holder, "\"kind\":\"failover\""));
+    assert!(site.has_logged(failover_leader, "\"kind\":\"promoted\""));
+    assert!(!site.has_logged(1 - failover_leader, "\"kind\":\"failover\""));
 }
 
 /// A replica runs that no proxy knows of: it has just come and its registration is not seen yet. It alone
 /// receives the primary's commits, the listed replica receives nothing. Whoever is promoted next will
 /// lack them, so their callers must not be told that they are kept.
 #[tokio::test]
-async fn commit_that_only_an_unlisted_replica_has_is_not_acknowledged() {
+async fn commit_only_on_an_unregistered_replica_is_not_acknowledged() {
     let site = Site::start("unlisted", 1).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("PUT a listed").is_done());
     site.fault(2, "unlisted", true).await;
-    let forgotten = fixture::eventually(FAILOVER_TIMEOUT, || async {
+    let is_removed = fixture::eventually(FAILOVER_TIMEOUT, || async {
         site.has_logged(0, "\"kind\":\"servers gone\"")
     });
-    assert!(forgotten.await);
-    tokio::time::sleep(ROSTER_FORGETS).await;
+    assert!(is_removed.await);
+    tokio::time::sleep(SERVER_REMOVAL_DELAY).await;
 
     site.fault(1, "deaf", true).await;
     let answer = caller.query("PUT a unlisted");
@@ -178,7 +178,7 @@
 /// The primary is cut off from its replicas and still answers the proxies: a commit there would
 /// never be acknowledged, and a read there would soon be stale.
 #[tokio::test]
-async fn cut_off_primary_is_replaced_and_not_read_any_more() {
+async fn partitioned_primary_is_replaced_and_serves_no_reads() {
     let site = Site::start("cut", 2).await;
     let mut writer = site.caller(0, LATEST);
     assert!(writer.query("PUT a old").is_done());
@@ -196,34 +196,34 @@
 
 /// The primary is to be stopped: another server leads before it is, and no write is in doubt.
 #[tokio::test]
-async fn leaving_primary_is_replaced_without_a_doubtful_write() {
+async fn draining_primary_is_replaced_without_unknown_outcomes() {
     let site = Site::start("leaving", 1).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("PUT a 0").is_done());
 
     site.fault(0, "leaving", true).await;
     let mut codes = Vec::new();
-    let mut moved = false;
+    let mut is_replaced = false;
     for round in 1..200 {
         let answer = caller.query(&format!("PUT a {round}"));
         match answer.is_done() {
-            true => moved = answer.server() != "i-0",
+            true => is_replaced = answer.server() != "i-0",
             false => codes.push(answer.code().to_owned()),
         }
-        if moved {
+        if is_replaced {
             break;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
 
-    assert!(moved);
+    assert!(is_replaced);
     assert!(!codes.iter().any(|code| code == "UNKNOWN"), "{codes:?}");
 }
 
 /// The primary takes a write and never answers: whether it is kept is not known, and it is not sent
 /// again.
 #[tokio::test]
-async fn write_without_an_answer_is_not_repeated() {
+async fn unanswered_write_is_not_retried() {
     let site = Site::start("doubt", 1).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("PUT a 0").is_done());
@@ -244,7 +244,7 @@
 /// The proxy is cut off with the primary: the first write hangs and its outcome is unknown. Writes
 /// that come after it are refused as not run, so that their callers may repeat them elsewhere.
 #[tokio::test]
-async fn writes_behind_one_that_hangs_are_not_run() {
+async fn writes_behind_a_hanging_write_are_not_run() {
     let site = Site::start("hangs", 1).await;
     let mut first = site.caller(0, LATEST);
     let mut second = site.caller(0, LATEST);
@@ -267,10 +267,10 @@
 /// A planned stop: the proxy is not ready at once, an open transaction may end, a resting session is
 /// closed, nothing read is left without an answer.
 #[tokio::test]
-async fn planned_stop_cuts_nothing_off() {
+async fn graceful_shutdown_finishes_open_work() {
     let mut site = Site::start("stop", 1).await;
     let mut open = site.caller(0, LATEST);
-    let mut resting = site.caller(0, LATEST);
+    let mut idle = site.caller(0, LATEST);
     assert!(open.query("BEGIN").is_done());
     assert!(open.query("PUT a one").is_done());
 
@@ -288,7 +288,7 @@
     let commit = open.query("COMMIT");
 
     assert!(commit.is_done(), "{commit:?}");
-    assert_eq!(resting.next_line(), "", "closed without a word");
+    assert_eq!(idle.next_line(), "", "closed without a word");
     assert!(site.proxies[0]
         .process
         .wait_for_exit(Duration::from_secs(6)));
@@ -297,7 +297,7 @@
 
 /// All proxies are killed at once: with no disk, the store alone brings the service back.
 #[tokio::test]
-async fn proxies_killed_together_come_back_from_the_store() {
+async fn proxies_killed_together_recover_from_the_store() {
     let mut site = Site::start("all-killed", 2).await;
     site.configure(3, &[LATEST, "new-db"]).await;
 
@@ -314,7 +314,7 @@
 
 /// A proxy dies in the middle of a transaction: nothing of it is kept.
 #[tokio::test]
-async fn proxy_killed_inside_a_transaction_keeps_nothing() {
+async fn transaction_of_a_killed_proxy_is_rolled_back() {
     let mut site = Site::start("killed", 2).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("BEGIN").is_done());
@@ -330,9 +330,9 @@
 /// Another writer puts entries among the registrations: bytes that are none, fields of another type, a
 /// state that no server is in. The servers go on being used, and each entry is named once in the log.
 #[tokio::test]
-async fn entries_of_another_writer_are_passed_over() {
+async fn invalid_registrations_are_skipped() {
     let site = Site::start("foreign", 1).await;
-    let entry = |state: &str| {
+    let registration = |state: &str| {
         format!(
             "{{\"service\":\"ledger\",\"addr\":\"127.0.0.1:9\",\"zone\":\"dc-1\",\"version\":\"v1\",\
              \"slots\":50,\"state\":{state},\"cold_left_ms\":0,\"db_role\":\"primary\",\"seq\":1}}"
@@ -341,17 +341,17 @@
 
     site.put_registration("odd-bytes", "\u{0}not an entry")
         .await;
-    site.put_registration("odd-state", &entry("\"asleep\""))
+    site.put_registration("odd-state", &registration("\"asleep\""))
         .await;
-    site.put_registration("odd-type", &entry("7")).await;
+    site.put_registration("odd-type", &registration("7")).await;
     let mut caller = site.caller(0, SESSION);
-    let noted = fixture::eventually(Duration::from_secs(5), || async {
+    let all_logged = fixture::eventually(Duration::from_secs(5), || async {
         let odd = ["odd-bytes", "odd-state", "odd-type"];
         odd.iter()
             .all(|id| site.has_logged(0, &format!("registration of {id}")))
     });
 
-    assert!(noted.await);
+    assert!(all_logged.await);
     for round in 0..20 {
         assert!(caller.query(&format!("PUT a {round}")).is_done());
         assert_eq!(rows(&caller.query("FETCH a")), [round.to_string()]);
@@ -361,7 +361,7 @@
 /// The primary is lost while the store is away, so nobody can be promoted for as long as that lasts. Writes
 /// are refused, but callers whose reads may be a second old go on reading from the replicas.
 #[tokio::test]
-async fn reads_go_on_without_a_primary() {
+async fn stale_reads_continue_without_a_primary() {
     let site = Site::start("no-primary", 1).await;
     let mut caller = site.caller(0, SESSION);
     assert!(caller.query("PUT a one").is_done());
--- a/crates/e2e/tests/line_restarts.rs
+++ b/crates/e2e/tests/line_restarts.rs
@@ -9,7 +9,7 @@
 /// replica 2 are two of three, but neither has the commit: nobody may be promoted until the
 /// primary, which has it, is back.
 #[tokio::test]
-async fn empty_replica_under_an_old_id_is_no_reason_to_promote() {
+async fn replica_restarted_empty_does_not_count_for_promotion() {
     let site = Site::start("empty", 2).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("PUT a first").is_done());
@@ -35,7 +35,7 @@
 /// A replica starts again under its id between two reads. The pooled connections lead to its earlier
 /// life: they are not used any more, and the caller's read is served all the same.
 #[tokio::test]
-async fn connections_to_an_earlier_life_are_not_used() {
+async fn connections_to_an_earlier_incarnation_are_not_used() {
     let site = Site::start("lives", 1).await;
     let mut caller = site.caller(0, SESSION);
     assert!(caller.query("PUT a one").is_done());
@@ -54,7 +54,7 @@
 /// The primary starts again under its id with an empty log. Its proxies still hold the proof that nobody
 /// else leads, and reach it at once; what callers read must not come from the empty log.
 #[tokio::test]
-async fn primary_that_starts_again_empty_is_not_read() {
+async fn primary_restarted_empty_is_not_read() {
     let site = Site::start("empty-primary", 1).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("PUT a one").is_done());
--- a/crates/e2e/tests/line_restores.rs
+++ b/crates/e2e/tests/line_restores.rs
@@ -12,10 +12,10 @@
 const LOST_VERSIONS: u64 = 30;
 
 /// How old the copy is in these tests: from before the versions that are lost.
-const AGE: Duration = Duration::from_millis(2_500);
+const BACKUP_AGE: Duration = Duration::from_millis(2_500);
 
 /// When every proxy has heard of a restore and its own entry is back.
-const SETTLED: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Puts versions up to `last`, the last of which is in force everywhere.
 async fn configure_up_to(site: &Site, first: u64, last: u64) {
@@ -28,7 +28,7 @@
 /// A site on which the store has been left alone for so long that there is a copy of before.
 async fn site(name: &str, proxies: usize) -> Site {
     let site = Site::start(name, proxies).await;
-    tokio::time::sleep(AGE).await;
+    tokio::time::sleep(BACKUP_AGE).await;
     site
 }
 
@@ -39,13 +39,13 @@
 }
 
 /// The fencing tokens of all calls for promotions, in their order.
-async fn tokens(site: &Site) -> Vec<u64> {
+async fn fencing_tokens(site: &Site) -> Vec<u64> {
     let tokens = site.group().await["tokens"].clone();
     serde_json::from_value(tokens).expect("numbers")
 }
 
 /// Whether the log of every server promoted after the first `earlier` ones has the item.
-async fn promoted_with(site: &Site, earlier: usize, item: &str) -> bool {
+async fn later_primaries_have(site: &Site, earlier: usize, item: &str) -> bool {
     let promotions = site.promotions().await;
     let mut later = promotions.as_array().expect("a list").iter().skip(earlier);
     let has = |promotion: &serde_json::Value| {
@@ -57,11 +57,11 @@
 
 /// Guards against proxies that take no change of a store whose revisions are below those that they had.
 #[tokio::test]
-async fn version_put_after_a_restore_is_in_force() {
+async fn version_put_after_a_restore_is_applied() {
     let site = site("restore-version", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
-    site.restore_store(AGE).await;
+    site.restore_store(BACKUP_AGE).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     site.configure(LOST_VERSIONS + 1, &[LATEST, SESSION]).await;
     site.wait_for_version(LOST_VERSIONS + 1).await;
@@ -76,12 +76,12 @@
 /// Guards against a proxy that puts the older configuration of the copy in force until the operators have
 /// written again.
 #[tokio::test]
-async fn version_of_the_copy_is_not_put_in_force() {
+async fn older_version_in_the_backup_is_not_applied() {
     let site = site("restore-older", 2).await;
     configure_up_to(&site, 2, 3).await;
 
-    site.restore_store(AGE).await;
-    let until = Instant::now() + SETTLED;
+    site.restore_store(BACKUP_AGE).await;
+    let until = Instant::now() + SETTLE_TIME;
     let mut lowest = u64::MAX;
     while Instant::now() < until {
         for proxy in 0..2 {
@@ -96,12 +96,12 @@
 /// A server starts to leave after the restore. Guards against a follower that is told only of what has a
 /// higher revision than it had reached in the store's earlier life.
 #[tokio::test]
-async fn server_that_leaves_after_a_restore_is_noticed() {
+async fn server_draining_after_a_restore_is_noticed() {
     let site = site("restore-leaving", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
-    site.restore_store(AGE).await;
-    tokio::time::sleep(SETTLED).await;
+    site.restore_store(BACKUP_AGE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     site.fault(2, "leaving", true).await;
     let noticed = fixture::eventually(Duration::from_secs(3), || async {
         (0..5).all(|proxy| site.has_logged(proxy, "\"leaving\":true"))
@@ -114,26 +114,29 @@
 /// A primary is replaced, the store forgets that, and the next one dies. Guards against a commit lost by a
 /// record, a list of servers or a holder of the duty from before the promotion.
 #[tokio::test]
-async fn promotion_that_the_store_forgot_loses_nothing() {
+async fn promotion_lost_in_a_restore_loses_no_commit() {
     let site = site("restore-promotion", 3).await;
     write(&site, 0, "a", "first");
     site.fault(0, "dead", true).await;
     write(&site, 0, "b", "second");
     let promoted = site.promotions().await.as_array().map_or(0, Vec::len);
 
-    site.restore_store(AGE * 2).await;
+    site.restore_store(BACKUP_AGE * 2).await;
     write(&site, 1, "c", "third");
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     site.fault(0, "dead", false).await;
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let leader = site.group().await["leader"].as_u64().expect("a leader");
     site.fault(leader as usize, "crashed", true).await;
     write(&site, 2, "d", "fourth");
-    let tokens = tokens(&site).await;
+    let tokens = fencing_tokens(&site).await;
 
     assert!(promoted > 0);
     for item in ["a", "b", "c"] {
-        assert!(promoted_with(&site, promoted, item).await, "{item} is lost");
+        assert!(
+            later_primaries_have(&site, promoted, item).await,
+            "{item} is lost"
+        );
     }
     assert!(tokens.len() >= 2, "{tokens:?}");
     assert!(tokens.is_sorted(), "{tokens:?}");
@@ -142,17 +145,17 @@
 /// All proxies are killed as the store comes back, so nobody remembers the tokens of before. Guards against
 /// a holder with a lower token than an earlier one had.
 #[tokio::test]
-async fn tokens_rise_though_all_proxies_start_again() {
+async fn fencing_tokens_rise_across_a_restore_and_restarts() {
     let mut site = site("restore-tokens", 3).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
     // Taken anew, so that the token is one of the revisions that are lost.
-    let holder = site.failover_leader().await;
-    site.kill_proxy(holder);
-    tokio::time::sleep(SETTLED).await;
+    let failover_leader = site.failover_leader().await;
+    site.kill_proxy(failover_leader);
+    tokio::time::sleep(SETTLE_TIME).await;
     site.fault(0, "dead", true).await;
-    write(&site, (holder + 1) % 3, "a", "first");
+    write(&site, (failover_leader + 1) % 3, "a", "first");
     site.fault(0, "dead", false).await;
-    let before = tokens(&site).await;
+    let before = fencing_tokens(&site).await;
 
     (0..3).for_each(|proxy| site.kill_proxy(proxy));
     site.restore_store(Duration::from_secs(60)).await;
@@ -163,7 +166,7 @@
     let leader = site.group().await["leader"].as_u64().expect("a leader");
     site.fault(leader as usize, "dead", true).await;
     write(&site, 1, "c", "third");
-    let after = tokens(&site).await;
+    let after = fencing_tokens(&site).await;
 
     assert!(
         !before.is_empty() && after.len() > before.len(),
@@ -179,27 +182,27 @@
 
 /// Guards against callers who notice a restore without any other fault.
 #[tokio::test]
-async fn callers_do_not_notice_a_restore() {
+async fn restore_causes_no_errors() {
     let site = site("restore-calm", 3).await;
     write(&site, 0, "a", "x");
     let mut callers: Vec<Caller> = (0..3).map(|proxy| site.caller(proxy, LATEST)).collect();
 
     let mut refused = Vec::new();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut restored = 0;
-    while begun.elapsed() < Duration::from_secs(9) {
-        if begun.elapsed() > Duration::from_secs(2 + 3 * restored) && restored < 2 {
-            site.restore_store(AGE).await;
+    while started_at.elapsed() < Duration::from_secs(9) {
+        if started_at.elapsed() > Duration::from_secs(2 + 3 * restored) && restored < 2 {
+            site.restore_store(BACKUP_AGE).await;
             restored += 1;
         }
         for (proxy, caller) in callers.iter_mut().enumerate() {
             let answer = caller.query("FETCH a");
             if rows(&answer) != ["x"] {
-                refused.push(format!("{proxy} at {:?}: {answer:?}", begun.elapsed()));
+                refused.push(format!("{proxy} at {:?}: {answer:?}", started_at.elapsed()));
             }
             let answer = caller.query(&format!("PUT k{proxy} y"));
             if !answer.is_done() {
-                refused.push(format!("{proxy} at {:?}: {answer:?}", begun.elapsed()));
+                refused.push(format!("{proxy} at {:?}: {answer:?}", started_at.elapsed()));
             }
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/e2e/tests/restores.rs
+++ b/crates/e2e/tests/restores.rs
@@ -7,9 +7,9 @@
 
 use fixture::{connect, eventually, insert, operator_json, Layout, Site};
 
-const WAIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// How old the copy is: from before what the tests have the KV forget.
-const AGE: Duration = Duration::from_millis(1_500);
+const BACKUP_AGE: Duration = Duration::from_millis(1_500);
 /// How many versions are put in the time that the KV loses, so that its revisions go far back.
 const LOST_VERSIONS: u64 = 20;
 const THREE: &[&str] = &["dc-1", "dc-1", "dc-1"];
@@ -17,13 +17,13 @@
 /// A site that has been left alone for so long that there is a copy of it.
 async fn site(name: &str) -> Site {
     let site = Site::build(&Layout::new(name, THREE)).await;
-    tokio::time::sleep(AGE).await;
+    tokio::time::sleep(BACKUP_AGE).await;
     site
 }
 
 /// Whether every proxy runs `version` in time.
-async fn in_force(site: &Site, version: u64) -> bool {
-    eventually(WAIT, || async {
+async fn is_applied(site: &Site, version: u64) -> bool {
+    eventually(TIMEOUT, || async {
         for proxy in &site.proxies {
             if operator_json(proxy, "/status").await["bundle_version"] != version {
                 return false;
@@ -36,7 +36,7 @@
 
 /// Writes `id` through proxy `index` until it is acknowledged.
 async fn write(site: &Site, index: usize, id: &str) {
-    let written = eventually(WAIT, || async {
+    let written = eventually(TIMEOUT, || async {
         let member = connect(&site.proxies[index], "member", "").await;
         member.simple_query(&insert(id)).await.is_ok()
     })
@@ -46,35 +46,35 @@
 
 /// Guards against proxies that wait for revisions which the KV has yet to reach again.
 #[tokio::test]
-async fn bundle_put_after_a_restore_is_in_force() {
+async fn bundle_put_after_a_restore_is_applied() {
     let site = site("kv-restore-bundle").await;
     for version in 2..=LOST_VERSIONS {
         let (put, text) = site.put_bundle(version);
         assert!(put, "{text}");
     }
-    assert!(in_force(&site, LOST_VERSIONS).await);
+    assert!(is_applied(&site, LOST_VERSIONS).await);
 
-    site.restore_kv(AGE).await;
+    site.restore_kv(BACKUP_AGE).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let kept = in_force(&site, LOST_VERSIONS).await;
+    let kept = is_applied(&site, LOST_VERSIONS).await;
     let (put, text) = site.put_bundle(LOST_VERSIONS + 1);
 
     assert!(kept, "no proxy goes back");
-    assert!(put && in_force(&site, LOST_VERSIONS + 1).await, "{text}");
+    assert!(put && is_applied(&site, LOST_VERSIONS + 1).await, "{text}");
 }
 
 /// The KV forgets a promotion. Guards against a record that stays behind the servers, and against a group
 /// whose next primary is not replaced, as every claim rests on a revision that is no more.
 #[tokio::test]
-async fn promotion_that_the_kv_forgot_is_recorded_again() {
+async fn promotion_lost_in_a_restore_is_recorded_again() {
     let site = site("kv-restore-promotion").await;
     write(&site, 0, "order-1").await;
     site.fault(1, "kill", 0, "").await;
     let before = site.wait_for_new_primary(1).await;
     write(&site, 0, "order-2").await;
 
-    site.restore_kv(AGE * 4).await;
-    let again = eventually(WAIT, || async {
+    site.restore_kv(BACKUP_AGE * 4).await;
+    let is_restored = eventually(TIMEOUT, || async {
         site.primary_record().await == Some(before.clone())
     })
     .await;
@@ -86,7 +86,10 @@
     write(&site, 2, "order-4").await;
     let rows = site.primary_rows(&after).await;
 
-    assert!(again || term >= before.term, "the record is written again");
+    assert!(
+        is_restored || term >= before.term,
+        "the record is written again"
+    );
     for order in ["order-1", "order-2", "order-3", "order-4"] {
         assert!(rows.contains_key(order), "{order} is lost");
     }
--- a/crates/e2e/tests/smoke.rs
+++ b/crates/e2e/tests/smoke.rs
@@ -6,7 +6,7 @@
 
 use fixture::{connect, eventually, operator_json, scalar, Site};
 
-const WAIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A write through proxy 0; the session moves to proxy 1 with its token and reads the row at
 /// once. The replicas lag 300 ms, so a read that ignored the token would miss it.
@@ -53,7 +53,7 @@
     let site = Site::start("replica", 1, 20).await;
     let client = connect(&site.proxies[0], "lookup", "").await;
 
-    let served_by_replica = eventually(WAIT, || async {
+    let served_by_replica = eventually(TIMEOUT, || async {
         scalar(&client, "SHOW dandelionpitch.server")
             .await
             .is_some_and(|s| s != "0")
@@ -72,11 +72,11 @@
 
 /// A bundle put by the CLI is in force on both proxies; an older version is refused.
 #[tokio::test]
-async fn bundle_in_force_everywhere_and_never_reverts() {
+async fn bundle_is_applied_everywhere_and_never_reverts() {
     let site = Site::start("bundle", 2, 20).await;
 
     let (put, text) = site.put_bundle(2);
-    let everywhere = eventually(WAIT, || async {
+    let everywhere = eventually(TIMEOUT, || async {
         let mut all = true;
         for proxy in &site.proxies {
             all &= operator_json(proxy, "/status").await["bundle_version"] == 2;
@@ -96,15 +96,18 @@
 /// staleness, and the next one knows no lookups any more. Both hold for the open session, not
 /// only for callers that connect later.
 #[tokio::test]
-async fn bundle_holds_for_open_sessions() {
+async fn bundle_applies_to_open_sessions() {
     let site = Site::start("open-session", 1, 20).await;
     let lookup = connect(&site.proxies[0], "lookup", "").await;
     let server = || scalar(&lookup, "SHOW dandelionpitch.server");
-    let on_replica = eventually(WAIT, || async { server().await.is_some_and(|s| s != "0") }).await;
+    let on_replica = eventually(TIMEOUT, || async {
+        server().await.is_some_and(|s| s != "0")
+    })
+    .await;
 
     let strict = |text: String| text.replace("\"5s\"", "\"0s\"");
     assert!(site.put_bundle_with(2, strict).0);
-    let in_force = eventually(WAIT, || async {
+    let is_applied = eventually(TIMEOUT, || async {
         operator_json(&site.proxies[0], "/status").await["bundle_version"] == 2
     })
     .await;
@@ -114,13 +117,13 @@
     }
     let unknown = |text: String| text.replace("\"lookup\"", "\"someone\"");
     assert!(site.put_bundle_with(3, unknown).0);
-    let refused = eventually(WAIT, || async {
+    let refused = eventually(TIMEOUT, || async {
         let code = fixture::refusal(&lookup, "SELECT 1").await;
         code.as_deref() == Some("28000")
     })
     .await;
 
-    assert!(on_replica && in_force);
+    assert!(on_replica && is_applied);
     assert!(after.iter().all(|server| server == "0"), "{after:?}");
     assert!(refused, "an unknown caller's session goes on");
 }
--- a/crates/e2e/tests/standin.rs
+++ b/crates/e2e/tests/standin.rs
@@ -10,7 +10,7 @@
 /// How often the server is killed; a statement that slips through once is a failure.
 const KILLS: usize = 100;
 /// Connections open at each kill, of which the last to be closed has the most time to answer.
-const CONNECTIONS: usize = 16;
+const CONNECTIONS_PER_KILL: usize = 16;
 
 /// A group of three servers and their addresses.
 fn group() -> (Process, Vec<String>) {
@@ -20,7 +20,7 @@
 }
 
 /// Sets a fault of server 0 by a call to another server, which is not affected.
-async fn set(via: &Client, fault: &str) {
+async fn set_fault(via: &Client, fault: &str) {
     let query = format!("SELECT dandelionpitch_fault('{fault}', 0, '')");
     via.simple_query(&query).await.expect("the fault is set");
 }
@@ -34,7 +34,7 @@
 }
 
 /// Whether `server` refuses new connections.
-async fn refuses(server: &str) -> bool {
+async fn refuses_connections(server: &str) -> bool {
     TcpStream::connect(server).await.is_err()
 }
 
@@ -48,19 +48,19 @@
     let via = connect_to(&servers[1], "check", "").await;
     let statement = insert("late");
     let mut answered = 0;
-    let mut let_in = 0;
+    let mut accepted = 0;
 
     for _ in 0..KILLS {
-        let opened = (0..CONNECTIONS).map(|_| in_transaction(&servers[0]));
+        let opened = (0..CONNECTIONS_PER_KILL).map(|_| in_transaction(&servers[0]));
         let clients = join_all(opened).await;
-        set(&via, "kill").await;
+        set_fault(&via, "kill").await;
         let sent = clients.iter().map(|client| client.simple_query(&statement));
         let answers = join_all(sent).await;
-        let_in += usize::from(!refuses(&servers[0]).await);
+        accepted += usize::from(!refuses_connections(&servers[0]).await);
         answered += answers.iter().filter(|answer| answer.is_ok()).count();
-        set(&via, "start").await;
+        set_fault(&via, "start").await;
     }
 
-    assert_eq!(answered, 0, "of {}", KILLS * CONNECTIONS);
-    assert_eq!(let_in, 0, "of {KILLS}");
+    assert_eq!(answered, 0, "of {}", KILLS * CONNECTIONS_PER_KILL);
+    assert_eq!(accepted, 0, "of {KILLS}");
 }
--- a/crates/e2e/tests/sweep_table.rs
+++ b/crates/e2e/tests/sweep_table.rs
@@ -9,7 +9,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn table(recorded: &Path) -> Output {
+fn run_script(recorded: &Path) -> Output {
     let script = root().join("scripts/sweep-table");
     let run = Command::new("python3").arg(script).arg(recorded).output();
     run.expect("python3 runs")
@@ -21,10 +21,10 @@
 
 #[test]
 fn recorded_sweep_becomes_tables() {
-    let made = table(&root().join("docs/sweeps/before.txt"));
+    let output = run_script(&root().join("docs/sweeps/before.txt"));
 
-    let printed = text(&made.stdout);
-    assert!(made.status.success(), "{}", text(&made.stderr));
+    let printed = text(&output.stdout);
+    assert!(output.status.success(), "{}", text(&output.stderr));
     assert!(printed.contains("| measured | 102 | 0.991 | 0.942 | none |"));
     assert!(
         printed.contains("| proxy: connections | measured | 206 / 677 | 94 / 2133 | 64 / 6281 |")
@@ -33,24 +33,25 @@
 
 /// A sweep takes many minutes and is ended now and then. A table of what it had until then would look whole.
 #[test]
-fn cut_off_sweep_is_an_error() {
-    let whole = std::fs::read_to_string(root().join("docs/sweeps/before.txt")).expect("recorded");
-    let cut: String = whole
+fn truncated_sweep_is_an_error() {
+    let complete =
+        std::fs::read_to_string(root().join("docs/sweeps/before.txt")).expect("recorded");
+    let truncated: String = complete
         .lines()
         .take(3)
         .map(|line| format!("{line}\n"))
         .collect();
     let path = std::env::temp_dir().join(format!("dp-sweep-{}.txt", std::process::id()));
-    std::fs::write(&path, cut).expect("it is written");
+    std::fs::write(&path, truncated).expect("it is written");
 
-    let made = table(&path);
+    let output = run_script(&path);
 
     std::fs::remove_file(&path).expect("it is removed");
-    assert!(!made.status.success());
-    assert!(text(&made.stdout).is_empty());
+    assert!(!output.status.success());
+    assert!(text(&output.stdout).is_empty());
     assert!(
-        text(&made.stderr).contains("cut off"),
+        text(&output.stderr).contains("cut off"),
         "{}",
-        text(&made.stderr)
+        text(&output.stderr)
     );
 }
--- a/crates/e2e/tests/terms.rs
+++ b/crates/e2e/tests/terms.rs
@@ -11,7 +11,7 @@
 };
 use fixture::{connect, eventually, insert, Layout, Site};
 
-const WAIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// How many servers of the three a new term needs.
 const QUORUM: usize = 2;
 
@@ -27,32 +27,32 @@
         claimant: "proxy-paused".to_owned(),
         members: recorded.members,
     };
-    let swap = kv.put_if(&key, &claim.to_value(), now.mod_revision).await;
-    assert!(matches!(swap, Ok(Swap::Done { .. })));
+    let update = kv.put_if(&key, &claim.to_value(), now.mod_revision).await;
+    assert!(matches!(update, Ok(Swap::Done { .. })));
     claim.term
 }
 
 /// Does what the paused claimant still has to do: has the servers hold `term`, and promotes one
 /// of them if a quorum does. Returns which server it promoted.
-async fn go_on(site: &Site, term: u64) -> Option<usize> {
-    let mut held = Vec::new();
+async fn resume_claim(site: &Site, term: u64) -> Option<usize> {
+    let mut fenced = Vec::new();
     for index in 0..site.servers().len() {
         let fence = format!("SELECT dandelionpitch_fence({term})");
         if site.server(index).await.simple_query(&fence).await.is_ok() {
-            held.push(index);
+            fenced.push(index);
         }
     }
-    if held.len() < QUORUM {
+    if fenced.len() < QUORUM {
         return None;
     }
     let promote = format!("SELECT dandelionpitch_promote({term})");
-    let promoted = site.server(held[0]).await.simple_query(&promote).await;
-    promoted.is_ok().then_some(held[0])
+    let promoted = site.server(fenced[0]).await.simple_query(&promote).await;
+    promoted.is_ok().then_some(fenced[0])
 }
 
 /// Waits until the record names a server again.
-async fn recorded(site: &Site) -> Record {
-    let named = eventually(WAIT, || async {
+async fn wait_for_recorded_primary(site: &Site) -> Record {
+    let named = eventually(TIMEOUT, || async {
         let record = site.primary_record().await;
         record.is_some_and(|record| record.server.is_some())
     })
@@ -66,26 +66,26 @@
 /// unaware. Had the record gone back to term 1, the replacement would have term 2 as well, and the
 /// claimant would promote a second primary at it, whose commits overwrite the first one's.
 #[tokio::test]
-async fn lapsed_claim_is_nobody_elses() {
+async fn expired_claim_reserves_its_term() {
     let site = Site::build(&Layout::new("lapsed", &["dc-1", "dc-1"])).await;
-    recorded(&site).await;
+    wait_for_recorded_primary(&site).await;
 
     let claimed = claim(&site).await;
-    let passed_over = recorded(&site).await;
-    let died = site.primary_index(&passed_over);
-    let via = (died + 1) % site.servers().len();
-    site.fault(via, "kill", died, "").await;
-    let replaced = site.wait_for_new_primary(passed_over.term).await;
-    site.fault(via, "start", died, "").await;
-    let second = go_on(&site, claimed).await;
-    let written = eventually(WAIT, || async {
+    let after_expiry = wait_for_recorded_primary(&site).await;
+    let killed = site.primary_index(&after_expiry);
+    let via = (killed + 1) % site.servers().len();
+    site.fault(via, "kill", killed, "").await;
+    let replaced = site.wait_for_new_primary(after_expiry.term).await;
+    site.fault(via, "start", killed, "").await;
+    let second_primary = resume_claim(&site, claimed).await;
+    let written = eventually(TIMEOUT, || async {
         let member = connect(&site.proxies[0], "member", "").await;
         member.simple_query(&insert("order-1")).await.is_ok()
     })
     .await;
 
-    assert_eq!(second, None, "a second primary at term {claimed}");
-    assert!(passed_over.term > claimed, "{passed_over:?}");
-    assert!(replaced.term > passed_over.term, "{replaced:?}");
+    assert_eq!(second_primary, None, "a second primary at term {claimed}");
+    assert!(after_expiry.term > claimed, "{after_expiry:?}");
+    assert!(replaced.term > after_expiry.term, "{replaced:?}");
     assert!(written);
 }
--- a/crates/e2e/tests/trace.rs
+++ b/crates/e2e/tests/trace.rs
@@ -11,10 +11,10 @@
 use fixture::line::{Answer, Site, LATEST, URGENT};
 
 /// As many as one proxy opens to a server of five slots.
-const CONNECTIONS: usize = 15;
+const CONNECTIONS_PER_SERVER: usize = 15;
 
 /// Writes what a proxy has logged so far into a file, as operators collect it.
-fn collect(site: &Site, name: &str) -> PathBuf {
+fn write_log_file(site: &Site, name: &str) -> PathBuf {
     std::thread::sleep(Duration::from_millis(300));
     let path = std::env::temp_dir().join(format!("dp-log-{name}-{}", std::process::id()));
     let lines = site.proxies[0]
@@ -35,11 +35,13 @@
 /// More callers write than connections serve in time. One is refused at once; its line says that
 /// work was waiting, and when to come back. Of many at once only some get a line of their own.
 #[tokio::test]
-async fn refused_under_load() {
+async fn refusal_under_load() {
     let site = Site::start("explain-load", 1).await;
     site.configure(2, &[LATEST, URGENT]).await;
     site.wait_for_version(2).await;
-    let mut holders: Vec<_> = (0..CONNECTIONS).map(|_| site.caller(0, LATEST)).collect();
+    let mut holders: Vec<_> = (0..CONNECTIONS_PER_SERVER)
+        .map(|_| site.caller(0, LATEST))
+        .collect();
     for holder in &mut holders {
         assert!(holder.query("BEGIN").is_done());
         assert!(holder.query("PUT a v").is_done());
@@ -53,12 +55,12 @@
         .iter_mut()
         .map(|caller| caller.read_answer())
         .collect();
-    let log = collect(&site, "load");
+    let log = write_log_file(&site, "load");
     let lines = std::fs::read_to_string(&log).expect("the log is there");
-    let explained = |index: &usize| {
+    let is_logged_refusal = |index: &usize| {
         answers[*index].code() == "BUSY" && lines.contains(&format!("\"load{index}\""))
     };
-    let refused = (0..answers.len()).find(explained);
+    let refused = (0..answers.len()).find(is_logged_refusal);
     let text = trace(
         &format!("load{}", refused.expect("a refusal with a line")),
         &log,
@@ -80,7 +82,7 @@
     caller.send("QUERY doubtful PUT b v");
     let answer = caller.read_answer();
     caller.query_until_done("PUT c v", Duration::from_secs(10));
-    let log = collect(&site, "unknown");
+    let log = write_log_file(&site, "unknown");
     let text = trace("doubtful", &log);
 
     assert_eq!(answer.code(), "UNKNOWN");
@@ -101,7 +103,7 @@
 /// Nothing proves any more that the primary leads: a read that must see every commit is refused, and
 /// its line says so.
 #[tokio::test]
-async fn unproved_read_is_refused() {
+async fn read_without_a_confirmed_primary_is_refused() {
     let site = Site::start("explain-read", 1).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("FETCH a").is_done());
@@ -112,7 +114,7 @@
     }
     caller.send("QUERY unproved FETCH a");
     let answer = caller.read_answer();
-    let log = collect(&site, "read");
+    let log = write_log_file(&site, "read");
     let text = trace("unproved", &log);
 
     assert_eq!(answer.code(), "BUSY");
@@ -123,7 +125,7 @@
 #[tokio::test]
 async fn unknown_id_is_an_error() {
     let site = Site::start("explain-none", 1).await;
-    let log = collect(&site, "none");
+    let log = write_log_file(&site, "none");
 
     let (found, text) = fixture::dpctl(&["trace", "nobody", log.to_str().expect("a text path")]);
 
