--- a/crates/e2e/tests/assignment.rs
+++ b/crates/e2e/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! A group is watched by a few proxies; the others serve it all the same.
+//! Only a few proxies watch the servers of a group. The others serve it as well.
 
 mod fixture;
 
@@ -15,12 +15,13 @@
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(300);
 const SIX_IN_THREE_DCS: &[&str] = &["dc-1", "dc-1", "dc-2", "dc-2", "dc-3", "dc-3"];
 
-/// A site of six proxies in three data centres, once the watchers have settled.
+/// Starts six proxies in three data centres and waits until they know each other. Also returns the
+/// indexes of the proxies that watch the group.
 async fn site(name: &str) -> (Site, Vec<usize>) {
     start_site_with_settings(name, "").await
 }
 
-/// As [`site`], with `settings` appended to every proxy's.
+/// As [`site`], with `settings` appended to the settings of every proxy.
 async fn start_site_with_settings(name: &str, settings: &str) -> (Site, Vec<usize>) {
     let mut layout = Layout::new(name, SIX_IN_THREE_DCS);
     layout.settings = settings;
@@ -39,7 +40,7 @@
     all
 }
 
-/// The proxies that watch the group.
+/// The indexes of the proxies that watch the group.
 async fn watchers(site: &Site) -> Vec<usize> {
     let mut watchers = Vec::new();
     for (index, proxy) in site.proxies.iter().enumerate() {
@@ -57,8 +58,8 @@
     others.map(|(_, proxy)| proxy).collect()
 }
 
-/// One proxy of each data centre watches the group, so the loss of a data centre leaves two.
-/// Members read their own writes, from replicas, through proxies that watch nothing.
+/// One proxy per data centre watches the group, so that two remain if a data centre is lost.
+/// Callers of the other proxies read their own writes and are served by replicas.
 #[tokio::test]
 async fn group_is_served_by_proxies_that_do_not_watch_it() {
     let (site, watchers) = site("duty").await;
@@ -91,8 +92,8 @@
     assert!(by_replica);
 }
 
-/// The primary dies while a member writes through a proxy that does not watch the group. A
-/// watcher replaces it; the proxy learns of the new one from the KV's record.
+/// The primary is killed while a caller writes through a proxy that does not watch the group. The
+/// proxy learns of the new primary from the record in the KV.
 #[tokio::test]
 async fn failover_reaches_proxies_that_do_not_watch() {
     let (site, watchers) = site("duty-failover").await;
@@ -117,9 +118,9 @@
     );
 }
 
-/// A replica freezes. A proxy that does not watch the group cannot know; a lookup it sends
-/// there, on a connection it has or on one it has yet to open, must not wait for the limits
-/// of 20 and 30 s that hold for connections and statements, but be answered by another server.
+/// A replica freezes, which a proxy that does not watch the group cannot know. Reads that it sends
+/// there, on an open connection or on a new one, must be retried on another server soon, and not
+/// after the 20 s or more of the connection and statement timeouts.
 #[tokio::test]
 async fn frozen_replica_does_not_delay_reads() {
     let long_timeouts = "[backend]\nconnect_timeout = \"20s\"\npool_wait = \"20s\"\n";
@@ -144,8 +145,8 @@
     assert!(took < Duration::from_secs(10), "took {took:?}");
 }
 
-/// A watcher is killed. Its heartbeat's lease runs out, the others learn it from the KV, and
-/// another proxy takes over its part; nobody has to be told.
+/// A watcher is killed. When the lease of its heartbeat expires, another proxy starts to watch the
+/// group.
 #[tokio::test]
 async fn dead_watcher_is_replaced() {
     let (mut site, watchers) = site("duty-dead").await;
@@ -164,9 +165,8 @@
     assert!(replaced, "{:?}", self::watchers(&site).await);
 }
 
-/// All three watchers of a group are killed at once, and its primary with them. Nobody is left who
-/// judges it until the watchers' leases have run out; then others do, within the bound of 12 s in which
-/// service must be back.
+/// All three watchers of a group are killed together with its primary. Other proxies start to watch
+/// the group when the heartbeat leases expire, and replace the primary within [`RECOVERY_TIMEOUT`].
 #[tokio::test]
 async fn all_watchers_and_the_primary_lost_at_once() {
     let (mut site, watchers) = site("duty-all-dead").await;
@@ -183,9 +183,8 @@
     assert!(took < RECOVERY_TIMEOUT, "took {took:?}");
 }
 
-/// A data centre loses the KV, and then the primary dies. The proxy there that does not watch
-/// the group hears nothing of the failover from the KV; it finds the new primary by asking the
-/// servers, and its members' writes go on.
+/// The KV is down in one data centre when the primary dies. A proxy there that does not watch the
+/// group cannot read the new record. It must find the new primary by asking the servers.
 #[tokio::test]
 async fn failover_is_detected_without_the_kv() {
     let (site, watchers) = site("duty-no-kv").await;
--- a/crates/e2e/tests/bad_input.rs
+++ b/crates/e2e/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear error and loses nothing.
+//! Invalid input from callers and operators is rejected with a clear error and harms nobody else.
 
 mod fixture;
 
@@ -6,7 +6,7 @@
 
 use fixture::{connect, scalar, Site};
 
-/// A caller that sends garbage bytes is dropped; the proxy goes on serving others.
+/// A caller that sends garbage is disconnected. The proxy continues to serve others.
 #[tokio::test]
 async fn garbage_bytes_do_not_stop_the_proxy() {
     let site = Site::start("garbage", 1, 20).await;
@@ -19,7 +19,7 @@
     assert_eq!(scalar(&client, "SELECT 1").await.as_deref(), Some("1"));
 }
 
-/// A user name the bundle does not know is refused at start-up with SQLSTATE 28000.
+/// A user that is not in the bundle is refused at start-up with SQLSTATE 28000.
 #[tokio::test]
 async fn unknown_caller_is_refused() {
     let site = Site::start("unknown", 1, 20).await;
@@ -41,7 +41,7 @@
     assert_eq!(code.as_deref(), Some("28000"), "{error}");
 }
 
-/// A settings file with a misspelt key stops the proxy at once with a message naming it.
+/// A misspelt key in the settings file stops the proxy with a message that names the key.
 #[test]
 fn misspelt_setting_is_named() {
     let dir = std::env::temp_dir().join(format!("dandelionpitch-settings-{}", std::process::id()));
@@ -64,7 +64,7 @@
     assert!(text.contains("listne"), "{text}");
 }
 
-/// A malformed bundle is refused by the CLI with the field named, and nothing is put.
+/// `dpctl validate` rejects a malformed bundle with a message that names the field.
 #[test]
 fn malformed_bundle_is_refused() {
     let dir = std::env::temp_dir().join(format!("dandelionpitch-bundle-{}", std::process::id()));
@@ -82,9 +82,8 @@
     assert!(text.contains("no group \"missing\""), "{text}");
 }
 
-/// The caller's statement is running on the backend when the whole group dies. The proxy's
-/// backend connection closes; the caller gets SQLSTATE 08007 "outcome unknown" at once, not a
-/// hang, because the statement had been sent and may have run.
+/// All servers of the group die while a statement runs. The caller gets SQLSTATE 08007, "outcome
+/// unknown", at once instead of waiting, as the statement may have been executed.
 #[tokio::test]
 async fn backend_lost_mid_query_returns_outcome_unknown() {
     let mut site = Site::start("gone", 1, 20).await;
--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -1,4 +1,4 @@
-//! The system replaces a failed primary by itself, and no promise to a caller is broken.
+//! The proxies replace a failed primary without losing or repeating an acknowledged write.
 
 mod fixture;
 #[path = "failover/kv.rs"]
@@ -14,16 +14,16 @@
 };
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Time in which writers write before and after a fault.
+/// How long writers write before and after a fault.
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(300);
-/// Above the member's statement timeout in the bundle, so that a writer whose statement was
-/// under way when a cut began sends another one during the cut.
+/// Longer than the statement timeout of the test's callers, so that a writer whose statement is in
+/// flight when a partition begins sends another one before the partition ends.
 const ABOVE_STATEMENT_TIMEOUT: Duration = Duration::from_millis(2500);
 const TWO_IN_ONE_DC: &[&str] = &["dc-1", "dc-1"];
 const TWO_DCS: &[&str] = &["dc-1", "dc-2"];
 
-/// A site with two proxies, and a member who has been writing through each for a while, as
-/// `w0` and `w1`.
+/// Starts a site with two proxies and a writer through each, named `w0` and `w1`, which have been
+/// writing for [`OBSERVATION_PERIOD`] on return.
 async fn site_with_writers(name: &str, dcs: &[&str]) -> (Site, Vec<Writer>) {
     let site = Site::build(&Layout::new(name, dcs)).await;
     let start = |(index, proxy)| Writer::start(proxy, &format!("w{index}"));
@@ -32,13 +32,13 @@
     (site, writers)
 }
 
-/// The address of the primary as proxy `index` sees it.
+/// The address of the primary according to proxy `index`.
 async fn primary_seen_by(site: &Site, index: usize) -> Option<String> {
     let report = operator_json(&site.proxies[index], "/status").await;
     report["groups"][0]["primary"].as_str().map(str::to_owned)
 }
 
-/// The servers that believe they lead, with their terms.
+/// The servers that report the role of primary, with their terms.
 async fn reported_primaries(site: &Site, servers: &[usize]) -> Vec<(usize, u64)> {
     let mut primaries = Vec::new();
     for &index in servers {
@@ -58,7 +58,7 @@
     primaries
 }
 
-/// Waits until a proxy has claimed a term at which it has not promoted anyone yet.
+/// Waits until a proxy has claimed a term and has not recorded its primary yet.
 async fn wait_for_claim(site: &Site) -> bool {
     eventually(TIMEOUT, || async {
         let record = site.primary_record().await;
@@ -77,7 +77,8 @@
     assert!(resumed, "writes through proxy {index} resumed");
 }
 
-/// Stops the writers and checks all they were told against the log of the recorded primary.
+/// Stops the writers and checks the outcomes of their writes against the log of the recorded
+/// primary.
 async fn stop_and_check(
     site: &Site,
     writers: Vec<Writer>,
@@ -93,9 +94,9 @@
     (attempts, violations)
 }
 
-/// Members write through two proxies when the primary dies. Both proxies miss it, one claims
-/// term 2 in the KV and promotes the replica that received the most; members wait through the
-/// gap. Each acknowledged write is on the new primary once, each "not run" one is not there.
+/// The primary is killed while two callers write through two proxies. One proxy claims term 2 and
+/// promotes a replica. Acknowledged writes are on the new primary exactly once, and writes answered
+/// with "not run" are not there.
 #[tokio::test]
 async fn primary_killed() {
     let (site, writers) = site_with_writers("killed", TWO_IN_ONE_DC).await;
@@ -112,9 +113,9 @@
     assert_eq!(reported_primaries(&site, &[1, 2]).await.len(), 1);
 }
 
-/// Replica 2 is cut off while members write, so only replica 1 received their orders. Then the
-/// primary dies, and replica 1 is the slower one to answer the claimant. The claimant must hear
-/// both before it promotes the one that has the orders; the other would lose them.
+/// Replica 2 is partitioned, so only replica 1 has the latest writes when the primary dies, and
+/// replica 1 answers the claimant later. The claimant must wait for both and promote replica 1, as
+/// the other choice loses acknowledged writes.
 #[tokio::test]
 async fn most_advanced_replica_is_promoted() {
     let site = Site::build(&Layout::new("advanced", TWO_IN_ONE_DC)).await;
@@ -135,9 +136,8 @@
     assert_eq!(record.server.unwrap().to_string(), site.servers()[1]);
 }
 
-/// A member's order is acknowledged, then the primary dies. The same session, and another that
-/// brings its token to the other proxy, read the order at once after the failover, from
-/// servers that carried on in a later term.
+/// A write is acknowledged and the primary dies. The same session, and a session on the other proxy
+/// with its token, read the write right after the failover.
 #[tokio::test]
 async fn read_your_writes_across_failover() {
     let mut layout = Layout::new("ryw", TWO_IN_ONE_DC);
@@ -160,9 +160,9 @@
     assert_eq!(scalar(&roamed, query).await.as_deref(), Some("order-1"));
 }
 
-/// Data centre 1 is cut off with the primary and one proxy; it still believes it leads. The
-/// proxy in data centre 2 promotes a replica. Members on the cut side get "outcome unknown" or
-/// "not run" but no acknowledgement; when the cut ends, their proxy follows the new primary.
+/// The primary is partitioned together with one proxy and still reports the role of primary when
+/// the other side has promoted a replica. Writes on its side must not be acknowledged. After the
+/// partition its proxy uses the new primary.
 #[tokio::test]
 async fn partitioned_primary_acknowledges_nothing() {
     let (site, writers) = site_with_writers("cut", TWO_DCS).await;
@@ -192,9 +192,9 @@
     assert!(!attempts.iter().filter(on_partitioned_side).any(acked));
 }
 
-/// The same cut; a member writes through data centre 2 after the failover and roams to the cut
-/// side, once with its token and once without. The old primary there lacks the write, and must
-/// not serve the member's read: an error is right, an empty answer is not.
+/// After the same partition and failover a caller writes, and reads through the proxy on the old
+/// primary's side, with its token and without. The old primary lacks the write, so the read must
+/// fail rather than return nothing.
 #[tokio::test]
 async fn reads_on_the_partitioned_side_are_not_stale() {
     let site = Site::build(&Layout::new("roam-cut", TWO_DCS)).await;
@@ -218,9 +218,9 @@
     }
 }
 
-/// The proxy that claimed term 2 is paused (SIGSTOP) before it promotes anyone. The other one
-/// waits out its claim and promotes at term 3. When the first goes on, unaware, the servers
-/// refuse its promotion: the term never goes back, and there is one primary.
+/// The claimant of term 2 is paused (SIGSTOP) before it promotes a server. The other proxy waits
+/// until the claim has expired and promotes at term 3. When the first resumes, the servers must
+/// reject its promotion: the term does not decrease and there is one primary.
 #[tokio::test]
 async fn resumed_claimant_cannot_promote() {
     let site = Site::build(&Layout::new("paused", TWO_IN_ONE_DC)).await;
@@ -247,14 +247,14 @@
     assert!(matches!(primaries[..], [(_, 3)]), "{primaries:?}");
 }
 
-/// The proxy's index in the name it claims under.
+/// The index of the proxy that made the claim.
 fn claimant(record: &Record) -> usize {
     let (_, index) = record.claimant.rsplit_once('-').unwrap();
     index.parse().unwrap()
 }
 
-/// The primary freezes: connections stay open and nothing answers. It is replaced; when it
-/// thaws it still believes it leads, and the writes it held are not acknowledged by it.
+/// The primary freezes, with its connections open, and is replaced. When it thaws it still takes
+/// itself for the primary, and must not acknowledge the writes that it had received.
 #[tokio::test]
 async fn primary_frozen_and_thawed() {
     let (site, writers) = site_with_writers("frozen", TWO_IN_ONE_DC).await;
@@ -275,8 +275,8 @@
     history::assert_writes_resumed(&attempts, promoted_at);
 }
 
-/// The primary answers the proxies but reaches no replica, so it can commit nothing. The
-/// replicas miss it, and it is replaced though every proxy can talk to it.
+/// The primary answers the proxies but reaches no replica, so it cannot commit. It must be replaced
+/// although all proxies reach it.
 #[tokio::test]
 async fn primary_without_replicas() {
     let site = Site::build(&Layout::new("alone", TWO_IN_ONE_DC)).await;
@@ -294,9 +294,9 @@
     assert!(followed, "the other proxy follows");
 }
 
-/// A claimant made one replica hold term 5 and died. That replica takes nothing from the
-/// primary any more; the proxies see it outranks the primary and finish the change, after
-/// which all three servers are of one term again.
+/// A claimant has fenced one replica with term 5 and died. The replica accepts nothing from the
+/// primary any more. The proxies must notice that its term is higher and complete the failover, so
+/// that all servers are in one term again.
 #[tokio::test]
 async fn interrupted_failover_is_completed() {
     let site = Site::build(&Layout::new("halfway", TWO_IN_ONE_DC)).await;
@@ -319,9 +319,9 @@
     assert!(followed, "the fenced replica follows again");
 }
 
-/// A member's transaction is open when its primary dies. The member, who reads no errors, goes
-/// on and commits. Nothing of it may be kept: not the row before, and not the rows after, each
-/// of which would otherwise be a write of its own on the new primary.
+/// The primary dies during a transaction, and the caller continues and commits despite the errors.
+/// No row of the transaction may be stored, neither the one before the failure nor the later ones,
+/// which would otherwise be separate writes on the new primary.
 #[tokio::test]
 async fn open_transaction_is_rolled_back_entirely() {
     let site = Site::build(&Layout::new("tx", TWO_IN_ONE_DC)).await;
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What callers see when proxies, connections and operators fail; primaries are in `failover`.
+//! Faults of proxies, connections and operators. Faults of primaries are in `failover`.
 
 mod fixture;
 
@@ -12,12 +12,12 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(300);
-/// How long a leaving server may still get new work.
+/// How long a draining server may still get new statements.
 const DRAIN_GRACE: Duration = Duration::from_secs(3);
 const TWO_IN_ONE_DC: &[&str] = &["dc-1", "dc-1"];
 
-/// A member's transaction is open when its proxy is killed. The server sees the connection end
-/// and rolls back; the member, who gets no answer, finds nothing of it through another proxy.
+/// A proxy is killed during a transaction. The server rolls back when the connection closes, and
+/// nothing of the transaction is visible through another proxy.
 #[tokio::test]
 async fn proxy_killed_in_a_transaction() {
     let mut site = Site::build(&Layout::new("proxy-killed", TWO_IN_ONE_DC)).await;
@@ -38,9 +38,8 @@
     assert_eq!(rows.keys().collect::<Vec<_>>(), ["alone"]);
 }
 
-/// One backend connection serves two members. The first begins a transaction within a query
-/// string of several statements and leaves it open; the second one's write must not run inside
-/// it, where the first one's rollback would undo it.
+/// A query string with several statements leaves a transaction open. A write of another session
+/// must not run on that connection, where it would be rolled back with the transaction.
 #[tokio::test]
 async fn multi_statement_query_does_not_leak_its_transaction() {
     let mut layout = Layout::new("script", &["dc-1"]);
@@ -64,9 +63,9 @@
     assert_eq!(rows.keys().collect::<Vec<_>>(), ["late"]);
 }
 
-/// Every connection to the primary goes silent for good, while new ones work. Statements that
-/// were under way end as "outcome unknown" at the callers' timeout; the proxy notices by its own
-/// status reads, drops the idle connections, and later statements run on new ones.
+/// All open connections to the primary stop responding, while new ones work. In-flight statements
+/// end as "outcome unknown" at their timeout. The proxy notices from its status requests, closes
+/// the idle connections and runs later statements on new ones, without a failover.
 #[tokio::test]
 async fn unresponsive_connections_are_replaced() {
     let site = Site::build(&Layout::new("silent", TWO_IN_ONE_DC)).await;
@@ -96,8 +95,8 @@
     assert_eq!(term, Some(1), "nobody was promoted for it");
 }
 
-/// Eight operators put versions 2 to 9 at the same moment. Each is told whether its version was
-/// accepted; the highest accepted one is in force on every proxy, and none goes back.
+/// Eight operators put versions 2 to 9 at the same time. Each is told whether its version was
+/// accepted, and every proxy ends up with the highest accepted version.
 #[tokio::test]
 async fn concurrent_bundle_puts_converge() {
     let site = Site::build(&Layout::new("race", TWO_IN_ONE_DC)).await;
@@ -146,10 +145,9 @@
     versions
 }
 
-/// A proxy is asked to stop while one member waits for a slow answer, one is between two
-/// statements of a transaction, and one rests. The slow answer arrives whole, the transaction
-/// commits, the resting session is closed at once, and the process ends by itself right after,
-/// without waiting out its limit.
+/// A proxy gets SIGTERM while one caller waits for a slow answer, one is inside a transaction and
+/// one is idle. The answer arrives and the transaction commits. The idle session is closed at once,
+/// and the process exits as soon as the work is done, before its grace period ends.
 #[tokio::test]
 async fn graceful_shutdown_finishes_open_work() {
     let mut site = Site::build(&Layout::new("stop", &["dc-1"])).await;
@@ -182,9 +180,9 @@
     assert_eq!(kept.len(), 2, "{kept:?}");
 }
 
-/// Two members share one backend connection and set the same value differently. Each must find
-/// its own, whatever server runs its next statement, in a transaction and outside; a third one,
-/// who set nothing, must find none.
+/// Two sessions share one backend connection and set the same variable to different values. Each
+/// must read its own value, inside a transaction and outside, and a third session that has set
+/// nothing must read none.
 #[tokio::test]
 async fn session_variables_are_isolated() {
     let mut layout = Layout::new("values", &["dc-1"]);
@@ -220,8 +218,7 @@
     assert_eq!(after_discard, None);
 }
 
-/// The platform lists a replica as leaving. Within the time it is given, lookups stop being
-/// served by it, and the other replica serves them all.
+/// The platform marks a replica as leaving. After the grace period no read is sent to it.
 #[tokio::test]
 async fn draining_replica_gets_no_new_reads() {
     let site = Site::build(&Layout::new("leaving", &["dc-1"])).await;
@@ -243,8 +240,8 @@
     assert!(servers.iter().all(|server| server == "1"), "{servers:?}");
 }
 
-/// The platform lists the primary as leaving. A replica takes over before it is stopped, while
-/// members write; none of them is refused, and nothing goes to the old primary any more.
+/// The platform marks the primary as leaving. A replica is promoted before the primary stops, and
+/// only statements in flight at that moment may fail.
 #[tokio::test]
 async fn draining_primary_is_replaced() {
     let site = Site::build(&Layout::new("leaving-primary", TWO_IN_ONE_DC)).await;
@@ -273,9 +270,9 @@
     assert!(refused.len() <= 2, "only what was under way: {refused:?}");
 }
 
-/// A member runs 18 statements that succeed, one that its own mistake fails, and one for which
-/// there is no primary. The report counts only the last against the service level: one failed
-/// of twenty, at an objective of 99 %, burns five times the allowance.
+/// A caller runs 18 statements that succeed, one that fails because of the caller and one that
+/// fails because there is no primary. Only the last counts against the service level: 1 of 20
+/// failed, with an objective of 99 %, is a burn rate of 5.
 #[tokio::test]
 async fn burn_report_counts_only_proxy_failures() {
     let site = Site::build(&Layout::new("burn", &["dc-1"])).await;
--- a/crates/e2e/tests/forwarding.rs
+++ b/crates/e2e/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! Many proxies before servers that take few connections: most hand their callers' statements to the few
-//! that hold connections, as separate processes and under failure.
+//! Servers accept too few connections for all proxies. A few proxies own the connections, and the
+//! others forward their callers' statements to these.
 
 mod fixture;
 
@@ -7,14 +7,16 @@
 
 use fixture::line::{rows, Caller, Site, LATEST, SESSION};
 
-/// What the servers take: too few for seven proxies, so that one proxy holds all connections.
+/// Too few connections for seven proxies, so that a single proxy owns them.
 const MAX_CONNECTIONS: usize = 8;
 
-/// How long callers may be without service when the proxy that holds the connections is lost: its
-/// entry lapses after 4 s, and another one that is asked before that serves at once.
+/// Time limit for service to resume after the owner is lost. This is less than the 4 s after which
+/// the owner's entry expires, as another proxy serves statements that are forwarded to it before
+/// that.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A site of seven proxies of which one holds the connections; returns it and one that does not.
+/// Starts seven proxies of which one owns the connections; returns its index and that of another
+/// proxy.
 async fn site(name: &str) -> (Site, usize, usize) {
     let site = Site::start_with_max_connections(name, 7, MAX_CONNECTIONS, &[]).await;
     let owner = site.wait_for_owners(1).await[0];
@@ -22,8 +24,8 @@
     (site, owner, other)
 }
 
-/// Callers of all seven proxies work at once. All are served, and no server is ever asked for more
-/// connections than it takes: with connections of their own the proxies would ask for 14 of 8.
+/// Callers of all seven proxies are served, and no server rejects a connection. Without forwarding
+/// the proxies would open 14 connections to servers that accept 8.
 #[tokio::test]
 async fn all_callers_are_served_within_the_connection_limit() {
     let (site, _, _) = site("within").await;
@@ -41,8 +43,8 @@
     assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
-/// Two sessions' statements go over the same connections between proxies. Neither may see the other's
-/// values, names or transaction.
+/// Statements of two sessions are forwarded over the same connections between proxies. Neither
+/// session may see the other's variables, prepared statements or transaction.
 #[tokio::test]
 async fn session_state_is_isolated_across_forwarding() {
     let (site, _, other) = site("apart").await;
@@ -65,7 +67,8 @@
     assert_eq!(plain.query("EXEC get a").code(), "NOSTMT");
 }
 
-/// A caller leaves in the middle of a transaction that another proxy runs for it: its writes are gone.
+/// A caller disconnects during a transaction that another proxy runs for it. The transaction must
+/// be rolled back.
 #[tokio::test]
 async fn disconnect_in_a_forwarded_transaction_rolls_back() {
     let (site, _, other) = site("leaves-handed").await;
@@ -86,8 +89,8 @@
     assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
-/// Writes numbers until `until`; returns those that were acknowledged and those whose outcome is
-/// unknown. A refusal that says "not run" is repeated.
+/// Writes numbered values until `until`. Returns those acknowledged and those whose outcome is
+/// unknown. Skips values whose write was refused as not run.
 fn write_numbers(caller: &mut Caller, until: Instant) -> (Vec<String>, Vec<String>) {
     let (mut acknowledged, mut unknown) = (Vec::new(), Vec::new());
     for number in 0.. {
@@ -106,7 +109,7 @@
     (acknowledged, unknown)
 }
 
-/// What is done to the proxy that holds the connections.
+/// How the owner of the connections is lost.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     Killed,
@@ -114,9 +117,9 @@
     Stopped,
 }
 
-/// The proxy that holds the connections is lost while callers of another one write. They are served
-/// again within two seconds, by a proxy that takes its place; what was acknowledged is there once,
-/// and what was refused as not run is not there at all.
+/// The owner of the connections is lost while callers of another proxy write. Another proxy takes
+/// its place within [`RECOVERY_TIMEOUT`]. Acknowledged writes are stored exactly once, and writes
+/// of unknown outcome at most once.
 #[yare::parameterized(
     killed = { Loss::Killed },
     frozen = { Loss::Frozen },
@@ -152,8 +155,8 @@
     assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
-/// A planned stop of the proxy that holds the connections: it goes on serving the others until they know,
-/// so a caller elsewhere notices nothing.
+/// The owner of the connections gets SIGTERM. It serves forwarded statements until the other
+/// proxies know, so that no statement is refused.
 #[tokio::test]
 async fn graceful_shutdown_of_the_owner_refuses_nothing() {
     let (site, owner, other) = site("planned").await;
@@ -176,7 +179,8 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// The store is away and the proxies' entries lapse. Those who knew each other go on as before.
+/// The store is down for longer than the proxies' entries last. The proxies must go on with the
+/// members that they know.
 #[tokio::test]
 async fn expired_heartbeats_are_ignored_while_the_store_is_down() {
     let (site, _, other) = site("lapsed").await;
@@ -195,7 +199,7 @@
     assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
-/// A refused statement is found in the logs of both proxies under its id.
+/// A refused statement is in the logs of both proxies under its id.
 #[tokio::test]
 async fn refusal_is_logged_by_both_proxies() {
     let (site, owner, other) = site("explained").await;
@@ -218,8 +222,8 @@
     assert!(both.await);
 }
 
-/// All other proxies are lost, the owner and those that would take its place among them. The one that is
-/// left serves its callers on a connection of its own, at once and not when the entries have lapsed.
+/// All other proxies are killed, the owner among them. The remaining one must serve its callers on
+/// a connection of its own at once, and not only when the entries of the others have expired.
 #[tokio::test]
 async fn proxy_that_reaches_no_owner_serves_its_callers() {
     let (mut site, _, other) = site("alone").await;
@@ -239,8 +243,9 @@
     assert!(caller.query("COMMIT").is_done());
 }
 
-/// Twelve proxies start together before servers that take eight connections. None takes itself for an owner
-/// before it knows the others: their first questions would be twelve connections to each server.
+/// Twelve proxies start together before servers that accept eight connections. No proxy may act as
+/// an owner before it knows the others, as twelve proxies with one connection each exceed the
+/// limit.
 #[tokio::test]
 async fn proxies_started_together_respect_the_connection_limit() {
     let site = Site::start_with_max_connections("together", 12, MAX_CONNECTIONS, &[]).await;
--- a/crates/e2e/tests/line.rs
+++ b/crates/e2e/tests/line.rs
@@ -1,5 +1,5 @@
-//! The whole path over the line protocol, as separate processes: callers, proxies, the stand-in
-//! platform.
+//! End-to-end tests of the line protocol, with the proxies and the stand-in platform as separate
+//! processes.
 
 mod fixture;
 
@@ -7,7 +7,7 @@
 
 use fixture::line::{rows, Caller, Site, LATEST, SESSION};
 
-/// Reads `item` until it is there, as replicas apply a little later.
+/// Reads `item` repeatedly until a replica answers.
 fn served_by_replica(caller: &mut Caller, item: &str) -> bool {
     (0..50).any(|_| {
         let answer = caller.query(&format!("FETCH {item}"));
@@ -33,7 +33,7 @@
     assert_eq!(fetch.state, "I");
 }
 
-/// A caller writes, and its next read on another proxy must show it, whatever replicas lag.
+/// A write through one proxy is visible in the next read through another, even if replicas lag.
 #[tokio::test]
 async fn write_is_seen_through_a_second_proxy() {
     let site = Site::start_with("roams", 2, &["--lag-ms", "400"]).await;
@@ -48,7 +48,7 @@
     }
 }
 
-/// A session reads its own write though every replica is half a second behind.
+/// A session reads its own write, even if all replicas lag.
 #[tokio::test]
 async fn session_sees_its_own_writes() {
     let site = Site::start_with("own", 1, &["--lag-ms", "400"]).await;
@@ -87,7 +87,7 @@
     assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
-/// Two sessions share the few connections; neither may see the other's values or names.
+/// Sessions that share connections must not see each other's variables or prepared statements.
 #[tokio::test]
 async fn session_state_is_isolated() {
     let site = Site::start("names", 1).await;
@@ -122,8 +122,8 @@
     assert_eq!(caller.next_line(), "");
 }
 
-/// A database is added and another dropped; open sessions follow with their next statement, and a
-/// version put late does not bring the old one back.
+/// Open sessions see added and dropped databases with their next statement, and an older version
+/// that is put later is not applied.
 #[tokio::test]
 async fn configuration_is_applied_and_never_reverts() {
     let site = Site::start("config", 2).await;
@@ -146,7 +146,7 @@
     assert!(site.caller(0, "new-db").query("FETCH a").is_done());
 }
 
-/// Bytes that are no message end their own session and nobody else's.
+/// Invalid messages end only the session that sent them.
 #[tokio::test]
 async fn invalid_input_does_not_affect_other_sessions() {
     let site = Site::start("bad", 1).await;
@@ -167,7 +167,7 @@
     assert!(other.query("PUT a one").is_done());
 }
 
-/// A message of the largest size passes in both directions.
+/// A message close to the size limit passes in both directions.
 #[tokio::test]
 async fn message_of_a_megabyte_is_served() {
     let site = Site::start("large", 1).await;
@@ -179,7 +179,7 @@
     assert_eq!(rows(&caller.query("FETCH a")), [data]);
 }
 
-/// Statements sent without waiting are answered in order, each with its own answer.
+/// Statements that are sent without waiting for answers are answered in order.
 #[tokio::test]
 async fn pipelined_statements_are_answered_in_order() {
     let site = Site::start("together", 1).await;
@@ -195,7 +195,6 @@
     }
 }
 
-/// Operators see counters as text.
 #[tokio::test]
 async fn metrics_are_served_as_text() {
     let site = Site::start("metrics", 1).await;
@@ -217,7 +216,7 @@
     }
 }
 
-/// The settings file names what is wrong with it.
+/// A setting that is out of range stops the proxy with a message that names the setting.
 #[test]
 fn invalid_setting_is_reported_by_name() {
     let path = std::env::temp_dir().join(format!("dp-line-bad-{}.toml", std::process::id()));
--- a/crates/e2e/tests/line_change_feed.rs
+++ b/crates/e2e/tests/line_change_feed.rs
@@ -1,4 +1,4 @@
-//! Changes of the store reach proxies that do not watch it, whatever happens to those that do.
+//! Store changes reach proxies that do not watch the store, even if the relays they follow fail.
 
 mod fixture;
 
@@ -6,11 +6,11 @@
 
 use fixture::line::{Site, LATEST, SESSION};
 
-/// More than watch the store: two of them do.
+/// More proxies than watch the store themselves.
 const PROXIES: usize = 5;
 const RELAYS: usize = 2;
 
-/// A site in which two proxies watch the store and the others hear from them; and which those two are.
+/// Starts a site and waits until its relays are elected. Also returns the indexes of the relays.
 async fn start_site(name: &str) -> (Site, Vec<usize>) {
     let site = Site::start(name, PROXIES).await;
     let settled = fixture::eventually(Duration::from_secs(10), || async {
@@ -21,7 +21,7 @@
     (site, relays)
 }
 
-/// The proxies that hear of changes from the store itself.
+/// The indexes of the proxies that get changes from the store itself.
 async fn relays(site: &Site) -> Vec<usize> {
     let mut relays = Vec::new();
     for index in 0..PROXIES {
@@ -32,15 +32,15 @@
     relays
 }
 
-/// Waits until `version` is in force everywhere but at `left_out`.
+/// Waits until all proxies but the `excluded` ones have applied `version`.
 async fn wait_for_version_except(site: &Site, version: u64, excluded: &[usize]) {
     for index in (0..PROXIES).filter(|index| !excluded.contains(index)) {
         site.wait_for_version_at(index, version).await;
     }
 }
 
-/// Nothing happens for some seconds. Only two of five proxies wait at the store for changes, so calls
-/// do not grow with the fleet, and what the others know stays young all the same.
+/// Only the relays watch the store, so the number of requests does not grow with the number of
+/// proxies. The followers' data stays recent all the same.
 #[tokio::test]
 async fn followers_do_not_watch_the_store() {
     let (site, _) = start_site("feed-calm").await;
@@ -54,13 +54,13 @@
         ages.push(status["changes"]["age_ms"].as_u64().unwrap_or(u64::MAX));
     }
 
-    // A watch waits 1.5 s.
+    // A watch request waits up to 1.5 s.
     assert!(after - before <= 2 * RELAYS as u64 * 5, "{before} {after}");
     assert!(ages.iter().all(|age| *age < 6_000), "{ages:?}");
 }
 
-/// Both feeders are frozen and their connections stay open, so their followers hear nothing and no error
-/// either. A configuration is put: it is in force at the others within its bound.
+/// Both relays freeze with their connections open, so their followers get neither changes nor
+/// errors. A new configuration must still reach the followers within the usual time.
 #[tokio::test]
 async fn configuration_reaches_followers_of_frozen_relays() {
     let (site, relays) = start_site("feed-frozen").await;
@@ -77,8 +77,8 @@
     site.wait_for_version(2).await;
 }
 
-/// Both feeders are killed at once, and start again a moment later. Two configurations are put, one while they
-/// are gone and one after it; neither is late anywhere, and none goes back to the first.
+/// Both relays are killed and restarted. A configuration put while they are down and one put after
+/// that are both applied in time by all running proxies.
 #[tokio::test]
 async fn configuration_reaches_followers_of_killed_relays() {
     let (mut site, relays) = start_site("feed-killed").await;
@@ -100,7 +100,7 @@
     site.wait_for_version(3).await;
 }
 
-/// A feeder is stopped as planned: its followers turn to others before it ends, and miss nothing.
+/// A relay gets SIGTERM. Its followers switch to another one before it exits and miss no change.
 #[tokio::test]
 async fn configuration_reaches_followers_of_a_stopping_relay() {
     let (site, relays) = start_site("feed-stopping").await;
@@ -112,8 +112,8 @@
     wait_for_version_except(&site, 2, &relays[..1]).await;
 }
 
-/// The store is away for some seconds and forgets its history. Nobody hears anything; when it is back a new
-/// configuration is in force everywhere within its bound, and the followers leave the store to the feeders again.
+/// The store is down for some seconds and discards its change history. A configuration put after
+/// that is applied in time by all proxies, and only the relays watch the store again.
 #[tokio::test]
 async fn followers_recover_after_a_store_outage() {
     let (site, _) = start_site("feed-away").await;
--- a/crates/e2e/tests/line_commits.rs
+++ b/crates/e2e/tests/line_commits.rs
@@ -1,4 +1,4 @@
-//! What a caller hears of its commit while a primary is replaced, as separate processes.
+//! Commits that are pending while a new primary is promoted.
 
 mod fixture;
 
@@ -6,14 +6,14 @@
 
 use fixture::line::{Caller, Site, LATEST};
 
-/// How long a promoter keeps the replicas held before it promotes one, and some more.
+/// Longer than a failover leader pauses the replicas before it promotes one.
 const REPLICA_PAUSE: Duration = Duration::from_millis(600);
 
-/// How long a statement takes from its caller to the primary's log, at most.
+/// Longer than a statement takes from its caller to the log of the primary.
 const DELIVERY_TIME: Duration = Duration::from_millis(50);
 
-/// A site on which an old primary's commit waits for held replicas when server 2, which no other server
-/// reaches, is promoted; and the caller that waits for its answer.
+/// Promotes server 2, which is partitioned from the other servers, while a commit on the old
+/// primary waits for the paused replicas. Returns the caller that waits for the answer.
 async fn pending_commit_at_promotion(name: &str) -> (Site, Caller) {
     let site = Site::start(name, 1).await;
     let mut caller = site.caller(0, LATEST);
@@ -29,11 +29,10 @@
     (site, caller)
 }
 
-/// A primary out of its promoter's reach goes on while its replicas are held, and a caller's commit
-/// waits there. When the promotion takes effect the holds end. The replica that the new primary
-/// does not reach receives the commit from the old one, which takes it for acknowledged. The server
-/// that leads now has never seen it, so the caller must not hear that it is kept. Seen as: a commit
-/// was run at 14.564 s, received by a replica at 15.121 s, acknowledged at 15.257 s, and lost.
+/// The old primary does not know of the promotion. When that takes effect the pauses end, and the
+/// replica that the new primary does not reach receives the pending commit from the old primary,
+/// which then reports it as committed. The new primary lacks the commit, so the caller must not get
+/// an acknowledgement.
 #[tokio::test]
 async fn commit_received_after_a_promotion_is_not_acknowledged() {
     let (site, mut caller) = pending_commit_at_promotion("late-commit").await;
@@ -45,9 +44,9 @@
     assert!(!answer.is_done(), "{answer:?}");
 }
 
-/// As above, but the new primary is reached again while the old one's commit still waits, and serves
-/// other callers. What a replica said of the commit before is about another primary than the one that
-/// is proved to lead now: the caller must not hear that it is kept.
+/// As above, but the new primary becomes reachable and serves other callers while the commit is
+/// still pending. The replica received the commit from another primary than the one that is now
+/// confirmed, so the caller must not get an acknowledgement.
 #[tokio::test]
 async fn later_lease_of_another_primary_does_not_confirm_a_commit() {
     let (site, mut caller) = pending_commit_at_promotion("later-lease").await;
--- a/crates/e2e/tests/line_failovers.rs
+++ b/crates/e2e/tests/line_failovers.rs
@@ -1,6 +1,5 @@
-//! Failovers that another trouble crosses: promotions take effect some time after their call, and what happens
-//! until then, or just after, must end in refusals and never in the loss of a commit that a caller was told
-//! is kept.
+//! Failovers with a second fault between the promotion call and the time at which it takes effect,
+//! or just after that. Statements may be refused, but no acknowledged commit may be lost.
 
 mod fixture;
 
@@ -8,11 +7,11 @@
 
 use fixture::line::{Site, FAILOVER_TIMEOUT, LATEST};
 
-/// For how long callers write: until the next promotion, if there is one, has taken effect.
+/// How long callers write: until a second promotion, if there is one, has taken effect.
 const WRITE_PERIOD: Duration = Duration::from_millis(2_500);
 
-/// A site with one proxy, whose promotions take twice the usual time to take effect, and an old primary that
-/// goes on for a second.
+/// Starts one proxy. Promotions take effect 600 ms after their call, and an old primary steps down
+/// 1 s after it learns of the new one.
 async fn site(name: &str) -> Site {
     let arguments = [
         "--promote-ms",
@@ -28,13 +27,14 @@
     site
 }
 
-/// Waits for a line of the proxy's log.
+/// Waits for a line in the proxy's log that contains `text`.
 async fn wait_for_log(site: &Site, text: &str) {
     let seen = fixture::eventually(FAILOVER_TIMEOUT, || async { site.has_logged(0, text) });
     assert!(seen.await, "no {text} in the log");
 }
 
-/// Waits until a promotion has been called for; returns the server that will lead, and the other replica.
+/// Waits until a promotion has been requested. Returns the server to be promoted and the other
+/// replica.
 async fn wait_for_promotion(site: &Site) -> (usize, usize) {
     wait_for_log(site, "\"kind\":\"promoted\"").await;
     match site.has_logged(
@@ -46,7 +46,7 @@
     }
 }
 
-/// Writes all the time; returns the items that were acknowledged.
+/// Writes one item after the other for [`WRITE_PERIOD`]. Returns the acknowledged items.
 fn write_items(site: &Site) -> Vec<String> {
     let started_at = Instant::now();
     let mut caller = site.caller(0, LATEST);
@@ -64,7 +64,7 @@
     acknowledged
 }
 
-/// The acknowledged writes that are not in the log of the server that leads in the end.
+/// The acknowledged items that are not in the log of the final primary.
 async fn lost_items(site: &Site, acknowledged: Vec<String>) -> Vec<String> {
     let mut caller = site.caller(0, LATEST);
     caller.query_until_done("PUT last v", FAILOVER_TIMEOUT * 2);
@@ -77,10 +77,10 @@
     lost_items
 }
 
-/// The primary leaves and another is promoted. From before that takes effect on, the new primary has no time for
-/// the promoter, which sees it as the held replica that it was. All others follow the new term: somebody
-/// leads it. Soon after, callers are served by the new primary; a third server that is promoted for the fourth
-/// lacks what they were told is kept.
+/// A draining primary is replaced, and the new primary rejects the failover leader's requests from
+/// before the promotion takes effect. The failover leader only has its old status, that of a paused
+/// replica. It must conclude from the other servers, which follow the new term, that some server
+/// leads. A third server, if promoted, would lack the commits that the new primary acknowledges.
 #[tokio::test]
 async fn busy_new_primary_loses_no_acknowledged_commit() {
     let site = site("no-time").await;
@@ -88,7 +88,7 @@
     let (new, _) = wait_for_promotion(&site).await;
     site.fault(new, "busy", true).await;
 
-    // The promoter looks again 1.2 s after its call, and judges for 300 ms.
+    // The next evaluation is 1.2 s after the promotion call and lasts 300 ms.
     let another = fixture::eventually(Duration::from_secs(2), || async {
         site.log_lines_with("\"kind\":\"failover\"").len() > 1
     });
@@ -100,9 +100,9 @@
     assert_eq!(lost_items(&site, acknowledged).await, Vec::<String>::new());
 }
 
-/// The primary crashes, the replicas are held, and one of them is called to be promoted. Before that takes
-/// effect the primary is back and still leads, and the other replica starts again: it has forgotten that it
-/// was held, receives from the primary and confirms commits that the server promoted does not have.
+/// The primary crashes and a replica is to be promoted. Before that takes effect the primary is
+/// back, and the other replica restarts without its pause. It receives from the old primary and
+/// confirms commits that the promoted server lacks. These must not be acknowledged.
 #[tokio::test]
 async fn replica_restarted_before_the_promotion_loses_no_acknowledged_commit() {
     let site = site("forgets").await;
@@ -118,9 +118,10 @@
     assert_eq!(lost_items(&site, acknowledged).await, Vec::<String>::new());
 }
 
-/// The primary crashes and comes back between the call for a promotion and its effect, so nobody has told it
-/// to step down, and takes commits that wait for a replica. The other replica does not reach the new primary: its hold ends with the promotion, and it
-/// receives from the old primary again and confirms its commits, which the new one does not have.
+/// The primary crashes and restarts before the promotion takes effect, so it has not been told to
+/// step down. The other replica does not reach the new primary. Its pause ends with the promotion,
+/// so it receives from the old primary and confirms commits that the new primary lacks. These must
+/// not be acknowledged.
 #[tokio::test]
 async fn restarted_old_primary_loses_no_acknowledged_commit() {
     let site = site("back").await;
--- a/crates/e2e/tests/line_faults.rs
+++ b/crates/e2e/tests/line_faults.rs
@@ -1,5 +1,4 @@
-//! The line protocol under failure, as separate processes: servers, proxies and the store die, hang,
-//! are cut off or stopped while callers work.
+//! Faults of servers, proxies and the store while callers use the line protocol.
 
 mod fixture;
 
@@ -7,14 +6,16 @@
 
 use fixture::line::{rows, Answer, Site, FAILOVER_TIMEOUT, LATEST, SERVER_LIST_DELAY, SESSION};
 
-/// How long the promoter's list goes on counting a server that has vanished: until every proxy that
-/// still counted it has stopped, and a question to the others after that.
+/// Longer than a server that is no longer registered counts for promotions: until the lists of all
+/// proxies that include it have expired, and the next status requests to the other servers.
 const SERVER_REMOVAL_DELAY: Duration = Duration::from_millis(7_500);
 
-/// The holder's lease, a claim, and a failover.
+/// Time limit for the expiry of the failover leader's lease, the election of another and a
+/// failover.
 const BOTH_LOST_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// A caller leaves in the middle of a transaction: its writes are gone, its connection is free.
+/// A caller disconnects during a transaction. Its writes are rolled back and its connection is free
+/// again.
 #[tokio::test]
 async fn disconnect_in_a_transaction_rolls_back() {
     let site = Site::start("leaves", 1).await;
@@ -30,8 +31,8 @@
     assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
-/// A caller rests inside a transaction for longer than allowed: the transaction is rolled back, and
-/// its next statement must not run outside of it.
+/// A transaction is idle for longer than allowed and is rolled back. The next statement must fail
+/// instead of running outside the transaction.
 #[tokio::test]
 async fn idle_transaction_times_out_and_aborts() {
     let site = Site::start("rests", 1).await;
@@ -47,7 +48,8 @@
     assert_eq!(site.count_in_log("a", "late").await, 0);
 }
 
-/// The store forgets its history while the configuration changes: the proxy reads everything anew.
+/// The store discards its change history while the configuration changes. The proxy must read
+/// everything again.
 #[tokio::test]
 async fn configuration_is_applied_after_store_compaction() {
     let site = Site::start("history", 1).await;
@@ -65,7 +67,7 @@
     assert!(is_applied.await);
 }
 
-/// The store is down for good: what is in force stays in force.
+/// The store is down. The proxy goes on with the configuration that it has.
 #[tokio::test]
 async fn proxy_serves_without_the_store() {
     let site = Site::start("no-store", 1).await;
@@ -78,8 +80,8 @@
     assert!(site.is_ready_now(0).await);
 }
 
-/// Callers write all the time while the primary's VM dies. Writes go on at another server, and
-/// every acknowledged one is in its log, once.
+/// The primary is lost while a caller writes. Writes resume on another server, whose log has every
+/// acknowledged write exactly once.
 #[tokio::test]
 async fn dead_primary_is_replaced_and_nothing_acknowledged_is_lost() {
     let site = Site::start("dead", 2).await;
@@ -106,9 +108,8 @@
     }
 }
 
-/// A VM that holds the failover duty and the primary are lost together, as in a cut of their data
-/// centre. Nobody may replace the primary before the holder's lease has ended; writes go on soon after
-/// that.
+/// The failover leader and the primary are lost together. Nobody else may replace the primary
+/// before the failover leader's lease has expired. Writes must resume soon after that.
 #[tokio::test]
 async fn primary_and_failover_leader_lost_together() {
     let site = Site::start("both-lost", 3).await;
@@ -125,8 +126,8 @@
     assert!(gap < BOTH_LOST_TIMEOUT, "{gap:?}");
 }
 
-/// The holder of the failover duty gets SIGTERM in the middle of replacing a primary. It finishes
-/// first: its successor would have to begin anew, and might be stopped as well.
+/// The failover leader gets SIGTERM while it replaces a primary. It must finish first, as the next
+/// failover leader would have to start again, and may be stopped too.
 #[tokio::test]
 async fn stopped_failover_leader_finishes_its_attempt() {
     let site = Site::start("stopped-holder", 2).await;
@@ -146,9 +147,9 @@
     assert!(!site.has_logged(1 - failover_leader, "\"kind\":\"failover\""));
 }
 
-/// A replica runs that no proxy knows of: it has just come and its registration is not seen yet. It alone
-/// receives the primary's commits, the listed replica receives nothing. Whoever is promoted next will
-/// lack them, so their callers must not be told that they are kept.
+/// The only replica that receives from the primary is not registered, so it does not count for
+/// promotions. The next primary will lack the commits that it confirms, so these must not be
+/// acknowledged.
 #[tokio::test]
 async fn commit_only_on_an_unregistered_replica_is_not_acknowledged() {
     let site = Site::start("unlisted", 1).await;
@@ -175,8 +176,8 @@
     assert_eq!(site.count_in_log("a", "unlisted").await, 0);
 }
 
-/// The primary is cut off from its replicas and still answers the proxies: a commit there would
-/// never be acknowledged, and a read there would soon be stale.
+/// The primary is partitioned from its replicas but still answers the proxies. It must be replaced,
+/// as it cannot commit, and not be read, as its data becomes stale.
 #[tokio::test]
 async fn partitioned_primary_is_replaced_and_serves_no_reads() {
     let site = Site::start("cut", 2).await;
@@ -194,7 +195,7 @@
     assert!(seen.iter().any(Answer::is_done));
 }
 
-/// The primary is to be stopped: another server leads before it is, and no write is in doubt.
+/// A draining primary is replaced before it stops, and no write ends with an unknown outcome.
 #[tokio::test]
 async fn draining_primary_is_replaced_without_unknown_outcomes() {
     let site = Site::start("leaving", 1).await;
@@ -220,8 +221,8 @@
     assert!(!codes.iter().any(|code| code == "UNKNOWN"), "{codes:?}");
 }
 
-/// The primary takes a write and never answers: whether it is kept is not known, and it is not sent
-/// again.
+/// The primary receives a write and does not answer. The outcome is unknown, so the write must not
+/// be sent again.
 #[tokio::test]
 async fn unanswered_write_is_not_retried() {
     let site = Site::start("doubt", 1).await;
@@ -241,8 +242,9 @@
     assert!(site.count_in_log("doubtful", "v").await <= 1);
 }
 
-/// The proxy is cut off with the primary: the first write hangs and its outcome is unknown. Writes
-/// that come after it are refused as not run, so that their callers may repeat them elsewhere.
+/// The proxy is partitioned together with the primary. The first write gets no answer, so its
+/// outcome is unknown. Later writes must be refused as not run, so that their callers may retry
+/// elsewhere.
 #[tokio::test]
 async fn writes_behind_a_hanging_write_are_not_run() {
     let site = Site::start("hangs", 1).await;
@@ -264,8 +266,9 @@
     assert_eq!(site.count_in_log("c", "v").await, 0);
 }
 
-/// A planned stop: the proxy is not ready at once, an open transaction may end, a resting session is
-/// closed, nothing read is left without an answer.
+/// After SIGTERM the proxy reports that it is not ready and still accepts callers for a moment. An
+/// open transaction may finish, an idle session is closed, and every statement received is
+/// answered.
 #[tokio::test]
 async fn graceful_shutdown_finishes_open_work() {
     let mut site = Site::start("stop", 1).await;
@@ -295,7 +298,7 @@
     assert_eq!(site.count_in_log("a", "one").await, 1);
 }
 
-/// All proxies are killed at once: with no disk, the store alone brings the service back.
+/// All proxies are killed. New ones recover from the store alone, as nothing is kept on disk.
 #[tokio::test]
 async fn proxies_killed_together_recover_from_the_store() {
     let mut site = Site::start("all-killed", 2).await;
@@ -312,7 +315,7 @@
     assert!(site.caller(1, "new-db").query("PUT a one").is_done());
 }
 
-/// A proxy dies in the middle of a transaction: nothing of it is kept.
+/// A proxy is killed during a transaction. The transaction must be rolled back.
 #[tokio::test]
 async fn transaction_of_a_killed_proxy_is_rolled_back() {
     let mut site = Site::start("killed", 2).await;
@@ -327,8 +330,8 @@
     assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
-/// Another writer puts entries among the registrations: bytes that are none, fields of another type, a
-/// state that no server is in. The servers go on being used, and each entry is named once in the log.
+/// The store has registrations of another format: not JSON, a field of another type, an unknown
+/// state. Each is logged and skipped, and the other servers stay in use.
 #[tokio::test]
 async fn invalid_registrations_are_skipped() {
     let site = Site::start("foreign", 1).await;
@@ -358,8 +361,8 @@
     }
 }
 
-/// The primary is lost while the store is away, so nobody can be promoted for as long as that lasts. Writes
-/// are refused, but callers whose reads may be a second old go on reading from the replicas.
+/// The primary is lost while the store is down, so no server can be promoted. Writes are refused,
+/// but reads that may be stale continue on the replicas.
 #[tokio::test]
 async fn stale_reads_continue_without_a_primary() {
     let site = Site::start("no-primary", 1).await;
--- a/crates/e2e/tests/line_restarts.rs
+++ b/crates/e2e/tests/line_restarts.rs
@@ -1,13 +1,12 @@
-//! The line protocol while servers start again under their ids, with nothing of their earlier lives.
+//! Servers that restart under the same id with an empty log.
 
 mod fixture;
 
 use fixture::line::{rows, Site, FAILOVER_TIMEOUT, LATEST, SERVER_LIST_DELAY, SESSION};
 
-/// A caller hears that its commit is kept, as replica 1 has it; replica 2 is behind. Replica 1 crashes
-/// behind a cut and starts again under its id with nothing, and the primary is lost. Replica 1 and
-/// replica 2 are two of three, but neither has the commit: nobody may be promoted until the
-/// primary, which has it, is back.
+/// Only the primary and replica 1 have an acknowledged commit. Replica 1 restarts empty and the
+/// primary is lost. The replicas are a majority, but neither has the commit, so none may be
+/// promoted until the primary is back.
 #[tokio::test]
 async fn replica_restarted_empty_does_not_count_for_promotion() {
     let site = Site::start("empty", 2).await;
@@ -32,8 +31,8 @@
     assert_eq!(site.count_in_log("a", "kept").await, 1);
 }
 
-/// A replica starts again under its id between two reads. The pooled connections lead to its earlier
-/// life: they are not used any more, and the caller's read is served all the same.
+/// Replicas restart between two reads. The pooled connections to their earlier incarnations must
+/// not be used, and the caller's reads must succeed.
 #[tokio::test]
 async fn connections_to_an_earlier_incarnation_are_not_used() {
     let site = Site::start("lives", 1).await;
@@ -51,8 +50,8 @@
     }
 }
 
-/// The primary starts again under its id with an empty log. Its proxies still hold the proof that nobody
-/// else leads, and reach it at once; what callers read must not come from the empty log.
+/// The primary restarts empty while the proxy's lease still confirms that no other server leads.
+/// Reads must not be answered from the empty log.
 #[tokio::test]
 async fn primary_restarted_empty_is_not_read() {
     let site = Site::start("empty-primary", 1).await;
--- a/crates/e2e/tests/line_restores.rs
+++ b/crates/e2e/tests/line_restores.rs
@@ -1,5 +1,5 @@
-//! The line protocol while the store comes back from a copy some seconds old, with its revisions given out
-//! again and without what was written since.
+//! The store is restored from a snapshot a few seconds old, which reuses revisions and loses later
+//! writes. Callers use the line protocol.
 
 mod fixture;
 
@@ -8,16 +8,16 @@
 use fixture::line::{rows, Caller, Site, FAILOVER_TIMEOUT, LATEST, SESSION};
 use serde_json::json;
 
-/// How many versions are put in the time that the store loses, so that its revisions go far back.
+/// The number of versions lost in a restore; many, so that the store's revision decreases far.
 const LOST_VERSIONS: u64 = 30;
 
-/// How old the copy is in these tests: from before the versions that are lost.
-const BACKUP_AGE: Duration = Duration::from_millis(2_500);
+/// The minimum age of the snapshot, so that it is older than the writes to be lost.
+const SNAPSHOT_AGE: Duration = Duration::from_millis(2_500);
 
-/// When every proxy has heard of a restore and its own entry is back.
+/// Longer than proxies take to notice a restore and to write their own entries again.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Puts versions up to `last`, the last of which is in force everywhere.
+/// Puts the versions `first` to `last` and waits until all proxies have applied the last one.
 async fn configure_up_to(site: &Site, first: u64, last: u64) {
     for version in first..=last {
         site.configure(version, &[LATEST, SESSION]).await;
@@ -25,26 +25,26 @@
     site.wait_for_version(last).await;
 }
 
-/// A site on which the store has been left alone for so long that there is a copy of before.
+/// Starts a site and waits until the store has a snapshot of it.
 async fn site(name: &str, proxies: usize) -> Site {
     let site = Site::start(name, proxies).await;
-    tokio::time::sleep(BACKUP_AGE).await;
+    tokio::time::sleep(SNAPSHOT_AGE).await;
     site
 }
 
-/// Writes until it is acknowledged, with the same item and data each time.
+/// Repeats a write until it is acknowledged.
 fn write(site: &Site, proxy: usize, item: &str, data: &str) {
     let mut caller = site.caller(proxy, LATEST);
     caller.query_until_done(&format!("PUT {item} {data}"), FAILOVER_TIMEOUT * 2);
 }
 
-/// The fencing tokens of all calls for promotions, in their order.
+/// The fencing tokens of all promotion calls, in order.
 async fn fencing_tokens(site: &Site) -> Vec<u64> {
     let tokens = site.group().await["tokens"].clone();
     serde_json::from_value(tokens).expect("numbers")
 }
 
-/// Whether the log of every server promoted after the first `earlier` ones has the item.
+/// Whether all servers promoted after the first `earlier` promotions had `item` in their logs.
 async fn later_primaries_have(site: &Site, earlier: usize, item: &str) -> bool {
     let promotions = site.promotions().await;
     let mut later = promotions.as_array().expect("a list").iter().skip(earlier);
@@ -55,13 +55,14 @@
     later.all(has)
 }
 
-/// Guards against proxies that take no change of a store whose revisions are below those that they had.
+/// Proxies must apply changes of a restored store whose revisions are lower than those they have
+/// seen.
 #[tokio::test]
 async fn version_put_after_a_restore_is_applied() {
     let site = site("restore-version", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
-    site.restore_store(BACKUP_AGE).await;
+    site.restore_store(SNAPSHOT_AGE).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     site.configure(LOST_VERSIONS + 1, &[LATEST, SESSION]).await;
     site.wait_for_version(LOST_VERSIONS + 1).await;
@@ -73,14 +74,14 @@
     assert_eq!(eras, [1; 5]);
 }
 
-/// Guards against a proxy that puts the older configuration of the copy in force until the operators have
-/// written again.
+/// Proxies must not apply the older configuration of the snapshot before the operators have put
+/// theirs again.
 #[tokio::test]
-async fn older_version_in_the_backup_is_not_applied() {
+async fn older_version_in_the_snapshot_is_not_applied() {
     let site = site("restore-older", 2).await;
     configure_up_to(&site, 2, 3).await;
 
-    site.restore_store(BACKUP_AGE).await;
+    site.restore_store(SNAPSHOT_AGE).await;
     let until = Instant::now() + SETTLE_TIME;
     let mut lowest = u64::MAX;
     while Instant::now() < until {
@@ -93,14 +94,14 @@
     assert_eq!(lowest, 3);
 }
 
-/// A server starts to leave after the restore. Guards against a follower that is told only of what has a
-/// higher revision than it had reached in the store's earlier life.
+/// A server starts to drain after a restore. Followers must see this although its revision is lower
+/// than those that they have seen before the restore.
 #[tokio::test]
 async fn server_draining_after_a_restore_is_noticed() {
     let site = site("restore-leaving", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
-    site.restore_store(BACKUP_AGE).await;
+    site.restore_store(SNAPSHOT_AGE).await;
     tokio::time::sleep(SETTLE_TIME).await;
     site.fault(2, "leaving", true).await;
     let noticed = fixture::eventually(Duration::from_secs(3), || async {
@@ -111,8 +112,8 @@
     assert!(noticed);
 }
 
-/// A primary is replaced, the store forgets that, and the next one dies. Guards against a commit lost by a
-/// record, a list of servers or a holder of the duty from before the promotion.
+/// A restore loses a promotion, and the next primary crashes. No commit may be lost because of an
+/// outdated record, server list or failover leader in the snapshot.
 #[tokio::test]
 async fn promotion_lost_in_a_restore_loses_no_commit() {
     let site = site("restore-promotion", 3).await;
@@ -121,7 +122,7 @@
     write(&site, 0, "b", "second");
     let promoted = site.promotions().await.as_array().map_or(0, Vec::len);
 
-    site.restore_store(BACKUP_AGE * 2).await;
+    site.restore_store(SNAPSHOT_AGE * 2).await;
     write(&site, 1, "c", "third");
     tokio::time::sleep(SETTLE_TIME).await;
     site.fault(0, "dead", false).await;
@@ -142,13 +143,13 @@
     assert!(tokens.is_sorted(), "{tokens:?}");
 }
 
-/// All proxies are killed as the store comes back, so nobody remembers the tokens of before. Guards against
-/// a holder with a lower token than an earlier one had.
+/// All proxies restart during a restore, so that none remembers the earlier fencing tokens. A new
+/// failover leader must not get a lower token than an earlier one.
 #[tokio::test]
 async fn fencing_tokens_rise_across_a_restore_and_restarts() {
     let mut site = site("restore-tokens", 3).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
-    // Taken anew, so that the token is one of the revisions that are lost.
+    // A new election, so that the fencing token is one of the revisions to be lost.
     let failover_leader = site.failover_leader().await;
     site.kill_proxy(failover_leader);
     tokio::time::sleep(SETTLE_TIME).await;
@@ -180,7 +181,7 @@
     );
 }
 
-/// Guards against callers who notice a restore without any other fault.
+/// A restore without any other fault must not cause errors or wrong reads.
 #[tokio::test]
 async fn restore_causes_no_errors() {
     let site = site("restore-calm", 3).await;
@@ -192,7 +193,7 @@
     let mut restored = 0;
     while started_at.elapsed() < Duration::from_secs(9) {
         if started_at.elapsed() > Duration::from_secs(2 + 3 * restored) && restored < 2 {
-            site.restore_store(BACKUP_AGE).await;
+            site.restore_store(SNAPSHOT_AGE).await;
             restored += 1;
         }
         for (proxy, caller) in callers.iter_mut().enumerate() {
--- a/crates/e2e/tests/line_standin.rs
+++ b/crates/e2e/tests/line_standin.rs
@@ -1,5 +1,5 @@
-//! The stand-in of the platform itself, without a proxy: what it does to servers and promotions is as the
-//! platform's pages say, so that what a soak finds in it can happen there.
+//! The stand-in platform without a proxy: servers and promotions behave as the platform's
+//! documentation says, so that faults found by the soak can occur on the platform too.
 
 mod fixture;
 
@@ -7,13 +7,13 @@
 
 use fixture::line::{rows, Answer, Caller, Site};
 
-/// How long a promotion of these tests takes to take effect.
+/// The time from a promotion call until the promotion takes effect.
 const PROMOTION_DELAY: Duration = Duration::from_millis(300);
 
-/// How long an old primary of these tests goes on once it reaches the new one.
-const SUPERSEDED_DELAY: Duration = Duration::from_millis(500);
+/// How long an old primary keeps its role once it reaches the new one.
+const STEP_DOWN_DELAY: Duration = Duration::from_millis(500);
 
-/// Longer than a replica needs to receive a commit.
+/// Longer than a replica takes to receive a commit.
 const REPLICATION_TIME: Duration = Duration::from_millis(120);
 
 async fn site(name: &str) -> Site {
@@ -28,7 +28,7 @@
     Site::start_with(name, 0, &arguments).await
 }
 
-/// Role, term, position, and the term for which it is held.
+/// Role, term, position and pause term.
 fn parse_status(answer: &Answer) -> Vec<String> {
     let row = rows(answer)[0];
     row.split(' ').take(4).map(str::to_owned).collect()
@@ -38,9 +38,9 @@
     parse_status(&server.query("STATUS"))
 }
 
-/// A replica is called to be promoted. Until that takes effect the old primary leads and the replica stays
-/// held; then holds end, the others follow, and a second call changes nothing. The old primary goes on
-/// for as long as it may.
+/// Until a promotion takes effect the old primary leads and the replica stays paused. Then the
+/// pauses end and the others follow the new term. A second call changes nothing, and the old
+/// primary keeps its role for [`STEP_DOWN_DELAY`].
 #[tokio::test]
 async fn promotion_takes_effect_after_its_call() {
     let site = site("effect").await;
@@ -56,7 +56,7 @@
     tokio::time::sleep(PROMOTION_DELAY + REPLICATION_TIME).await;
     let in_effect = (query_status(&mut second), query_status(&mut first));
     site.promote(1).await;
-    tokio::time::sleep(PROMOTION_DELAY + SUPERSEDED_DELAY).await;
+    tokio::time::sleep(PROMOTION_DELAY + STEP_DOWN_DELAY).await;
     let later = (query_status(&mut second), query_status(&mut first));
 
     assert_eq!(at_call, ["replica", "1", "1.1", "2"]);
@@ -66,8 +66,8 @@
     assert_eq!(later.1, ["replica", "2", "1.1", "0"]);
 }
 
-/// A held replica crashes and comes back under its id. It has its log and has forgotten the hold, so it
-/// receives from the old primary again; connections to its earlier life end.
+/// A paused replica crashes and restarts. It has its log but not its pause, so it receives from the
+/// old primary again. Connections to its earlier incarnation are closed.
 #[tokio::test]
 async fn restarted_replica_keeps_its_log_and_loses_its_pause() {
     let site = site("comes-back").await;
@@ -88,7 +88,8 @@
     assert_eq!(query_status(&mut second), ["replica", "1", "1.2", "0"]);
 }
 
-/// The primary crashes and comes back: as the primary, if nobody was promoted meanwhile, else as a replica.
+/// A primary that crashes and restarts is still the primary, unless another server was promoted
+/// meanwhile.
 #[tokio::test]
 async fn restarted_primary_leads_unless_another_was_promoted() {
     let site = site("primary-back").await;
@@ -107,8 +108,8 @@
     assert_eq!(superseded[0], "replica");
 }
 
-/// A replica is cut off from the server that is promoted and from no other. It never hears of the promotion:
-/// its hold ends, and it goes on receiving from the old primary, whose commits it acknowledges.
+/// A replica that is partitioned from the promoted server alone does not learn of the promotion.
+/// Its pause ends all the same, so it receives from the old primary and acknowledges its commits.
 #[tokio::test]
 async fn replica_partitioned_from_the_new_primary_follows_the_old_one() {
     let site = site("cut-from").await;
@@ -121,7 +122,7 @@
     let acknowledged = servers.0.query("PUT a one");
     let partitioned = query_status(&mut servers.1);
     site.partition_servers(1, 2, false).await;
-    tokio::time::sleep(SUPERSEDED_DELAY + REPLICATION_TIME).await;
+    tokio::time::sleep(STEP_DOWN_DELAY + REPLICATION_TIME).await;
     let rejoined = query_status(&mut servers.1);
 
     assert!(acknowledged.is_done());
@@ -129,7 +130,7 @@
     assert_eq!(rejoined, ["replica", "2", "1.0", "0"]);
 }
 
-/// A busy server refuses orders and statements without carrying them out, and keeps the connection.
+/// A busy server rejects commands and statements without executing them and keeps the connection.
 #[tokio::test]
 async fn busy_server_does_not_execute_what_it_refuses() {
     let site = site("busy").await;
@@ -152,7 +153,8 @@
     assert_eq!(query_status(&mut second), ["replica", "1", "1.0", "0"]);
 }
 
-/// Each promotion is noted with what its server had, for those who were told of commits to compare.
+/// Each promotion is recorded with the log of its server, so that tests can compare it with the
+/// acknowledged commits.
 #[tokio::test]
 async fn promotions_are_recorded_with_their_logs() {
     let site = site("noted").await;
@@ -170,7 +172,7 @@
     assert_eq!(promotions[0]["log"], serde_json::json!([["a", "one"]]));
 }
 
-/// A server loses its log between the call for its promotion and its effect: it is not promoted.
+/// A server that loses its log between the promotion call and its effect is not promoted.
 #[tokio::test]
 async fn server_that_has_lost_its_log_is_not_promoted() {
     let site = site("lost-log").await;
@@ -184,7 +186,8 @@
     assert_eq!(site.promotions().await, serde_json::json!([]));
 }
 
-/// A server has little time from the call for its promotion on: most of its answers are refusals, some are not.
+/// A test can overload the next server to be promoted: from the promotion call on it rejects most
+/// requests.
 #[tokio::test]
 async fn promoted_server_is_overloaded_on_request() {
     let site = site("crowded").await;
--- a/crates/e2e/tests/membership.rs
+++ b/crates/e2e/tests/membership.rs
@@ -1,4 +1,4 @@
-//! A new bundle changes which servers a group has; what was acknowledged before stays.
+//! New bundles add and remove servers of a group without loss of acknowledged writes.
 
 mod fixture;
 
@@ -11,13 +11,13 @@
 use fixture::{connect, eventually, insert, operator_json, scalar, Layout, Site};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// After this a server that was taken out and has stopped counts no longer.
+/// Longer than a stopped server counts for promotions after a bundle has removed it.
 const REMOVAL_DELAY: Duration = Duration::from_secs(12);
-/// Well above the time in which a dead primary is replaced.
+/// Longer than a failover takes.
 const FAILOVER_TIME: Duration = Duration::from_secs(3);
 const TWO_IN_ONE_DC: &[&str] = &["dc-1", "dc-1"];
 
-/// Puts bundle `version` without these servers and waits until every proxy runs it.
+/// Puts bundle `version` without these servers and waits until every proxy has applied it.
 async fn remove_servers(site: &Site, version: u64, servers: &[usize]) {
     let all = site.servers().into_iter().enumerate();
     let remaining = all.filter(|(index, _)| !servers.contains(index));
@@ -42,7 +42,7 @@
     }
 }
 
-/// Writes `id` until it is acknowledged; each attempt is a row of its own.
+/// Repeats the write of `id` until it is acknowledged. Each attempt inserts its own row.
 async fn write(site: &Site, id: &str) {
     let written = eventually(TIMEOUT, || async {
         let member = connect(&site.proxies[0], "member", "").await;
@@ -52,7 +52,7 @@
     assert!(written, "{id} is acknowledged");
 }
 
-/// Whether the primary that the record names, if it names one of a later term, has the row.
+/// Whether the primary has the row `id`. Also true if no failover has completed.
 async fn has_row(site: &Site, id: &str) -> bool {
     let record = site.primary_record().await.expect("a record");
     match record.server.is_some() && record.term > 1 {
@@ -61,9 +61,9 @@
     }
 }
 
-/// Replica 1 is cut off, so a member's order is acknowledged by replica 2 alone. Operators then take
-/// replica 2 out of the group, and the primary dies. Of the servers still listed only replica 1 is
-/// left, which lacks the order: it must not lead, however few servers the new list has.
+/// Replica 1 is partitioned, so only replica 2 has an acknowledged write. A bundle removes replica
+/// 2 and the primary dies. Replica 1, the only remaining server of the list, must not be promoted,
+/// however short the list is.
 #[tokio::test]
 async fn removed_server_still_counts_for_its_commits() {
     let site = Site::build(&Layout::new("shrink", &["dc-1"])).await;
@@ -89,8 +89,9 @@
     }
 }
 
-/// Operators wait until the server that they took out counts no longer before its VM is used for something
-/// else. Guards against a status that keeps it for ever, or drops it while it may be alone with a commit.
+/// Operators wait until the status no longer shows a removed server before they use its VM for
+/// something else. The server must be shown while it may be the only one with a commit, and no
+/// longer after that.
 #[tokio::test]
 async fn removed_and_stopped_server_no_longer_counts() {
     let site = Site::build(&Layout::new("forgotten", TWO_IN_ONE_DC)).await;
@@ -113,8 +114,8 @@
     assert_eq!(site.primary_index(&record), 1);
 }
 
-/// The server taken out of the list is not stopped and goes on confirming commits, alone, long after it
-/// was taken out. Guards against a promotion that loses them.
+/// A removed server is not stopped and goes on acknowledging commits alone. A later promotion must
+/// not lose them.
 #[tokio::test]
 async fn removed_server_that_still_replicates_counts() {
     let site = Site::build(&Layout::new("still-replicates", TWO_IN_ONE_DC)).await;
@@ -129,8 +130,8 @@
     assert!(has_row(&site, "order-1").await);
 }
 
-/// Operators take the server that leads out of the list. Guards against a group whose writes are refused
-/// from then on, as its replicas go on hearing from a primary that no proxy uses.
+/// A bundle removes the primary. It must be replaced, as replicas still hear from it but no proxy
+/// writes to it.
 #[tokio::test]
 async fn removed_primary_is_replaced() {
     let site = Site::build(&Layout::new("primary-out", TWO_IN_ONE_DC)).await;
@@ -145,8 +146,8 @@
     assert!(rows.contains_key("order-1") && rows.contains_key("order-2"));
 }
 
-/// While a failover is under way, operators take out the replica that alone has an acknowledged order.
-/// Guards against an order lost, and a group left without a primary.
+/// During a failover a bundle removes the only replica with an acknowledged write. The write must
+/// not be lost, and the group must get a primary again.
 #[tokio::test]
 async fn server_removed_during_a_failover_still_counts() {
     let site = Site::build(&Layout::new("out-failover", TWO_IN_ONE_DC)).await;
@@ -174,8 +175,8 @@
     assert!(has_row(&site, "order-1").await);
 }
 
-/// Two bundles in a row take out the replica that has the order and the one that lacks it. Guards against
-/// a group of which one server is left that looks complete.
+/// Two bundles remove first the replica that has a write and then the old primary. The remaining
+/// server must not be taken for the complete group.
 #[tokio::test]
 async fn servers_removed_one_by_one_still_count() {
     let site = Site::build(&Layout::new("two-out", TWO_IN_ONE_DC)).await;
@@ -190,8 +191,8 @@
     assert!(has_row(&site, "order-1").await);
 }
 
-/// All proxies die, and those that replace them know only a bundle that lacks the replica with the order.
-/// Guards against proxies that take the list of the bundle for the whole group.
+/// All proxies restart with a bundle that lacks the only replica with a write. They must not take
+/// the bundle's list for the complete group.
 #[tokio::test]
 async fn server_removed_while_no_proxy_runs_still_counts() {
     let mut site = Site::build(&Layout::new("out-restart", TWO_IN_ONE_DC)).await;
@@ -212,8 +213,8 @@
     assert!(has_row(&site, "order-1").await);
 }
 
-/// The KV loses the answers to all writes while the list shrinks and the primary dies. Guards against a
-/// record that keeps the shorter list.
+/// The KV applies writes but loses the answers while a bundle removes a server and the primary
+/// dies. The record must not end up with the shorter list.
 #[tokio::test]
 async fn server_removed_while_the_kv_loses_answers_still_counts() {
     let site = Site::build(&Layout::new("out-kv-lost", TWO_IN_ONE_DC)).await;
@@ -229,8 +230,8 @@
     assert!(has_row(&site, "order-1").await);
 }
 
-/// The KV is slow while the list shrinks and the primary dies, and the claimant is frozen for a while in
-/// the middle. Guards against an attempt that goes on by the list it began with.
+/// The KV is slow and the claimant is frozen while a bundle removes a server during its failover.
+/// The claimant must not go on with the outdated list.
 #[tokio::test]
 async fn server_removed_while_the_claimant_is_frozen_still_counts() {
     let site = Site::build(&Layout::new("out-frozen", TWO_IN_ONE_DC)).await;
@@ -261,8 +262,8 @@
     assert!(has_row(&site, "order-1").await);
 }
 
-/// The record of the group cannot be read when the list shrinks and all proxies start again. Guards against
-/// proxies that promote as if there were no record, or refuse all writes as if the group were new.
+/// The group's record is unreadable when all proxies restart with a shorter list. They must neither
+/// promote as if there were no record, nor refuse all writes as if the group were new.
 #[tokio::test]
 async fn unreadable_record_blocks_promotion() {
     let mut site = Site::build(&Layout::new("out-unreadable", TWO_IN_ONE_DC)).await;
@@ -290,8 +291,8 @@
     assert_eq!(stored.value, b"not a record", "{status:?}");
 }
 
-/// The replica that alone has an order loses its log and is put back under its address, empty, as the
-/// primary dies. Guards against counting it among those that hold the new term.
+/// The only replica with a write restarts with an empty log as the primary dies. It must not count
+/// towards the quorum for the new term.
 #[tokio::test]
 async fn server_restarted_empty_does_not_count_for_promotion() {
     let site = Site::build(&Layout::new("put-back", TWO_IN_ONE_DC)).await;
@@ -311,8 +312,8 @@
     assert!(has_row(&site, "order-1").await);
 }
 
-/// The same with the replica out of the list in between. Guards against taking its new life for the one
-/// that has the order.
+/// As above, with the replica out of the list while it restarts. Its new incarnation must not be
+/// taken for the one that has the write.
 #[tokio::test]
 async fn server_relisted_empty_does_not_count_for_promotion() {
     let site = Site::build(&Layout::new("listed-again", TWO_IN_ONE_DC)).await;
--- a/crates/e2e/tests/restores.rs
+++ b/crates/e2e/tests/restores.rs
@@ -1,5 +1,5 @@
-//! PostgreSQL's side while the KV comes back from a copy some seconds old, with its revisions given out again
-//! and without what was written since.
+//! The KV is restored from a snapshot a few seconds old, which reuses revisions and loses later
+//! writes. Callers use the PostgreSQL protocol.
 
 mod fixture;
 
@@ -8,20 +8,20 @@
 use fixture::{connect, eventually, insert, operator_json, Layout, Site};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// How old the copy is: from before what the tests have the KV forget.
-const BACKUP_AGE: Duration = Duration::from_millis(1_500);
-/// How many versions are put in the time that the KV loses, so that its revisions go far back.
+/// The minimum age of the snapshot, so that it is older than the writes to be lost.
+const SNAPSHOT_AGE: Duration = Duration::from_millis(1_500);
+/// The number of versions lost in a restore; many, so that the KV's revision decreases far.
 const LOST_VERSIONS: u64 = 20;
 const THREE: &[&str] = &["dc-1", "dc-1", "dc-1"];
 
-/// A site that has been left alone for so long that there is a copy of it.
+/// Starts a site and waits until the KV has a snapshot of it.
 async fn site(name: &str) -> Site {
     let site = Site::build(&Layout::new(name, THREE)).await;
-    tokio::time::sleep(BACKUP_AGE).await;
+    tokio::time::sleep(SNAPSHOT_AGE).await;
     site
 }
 
-/// Whether every proxy runs `version` in time.
+/// Whether every proxy applies `version` in time.
 async fn is_applied(site: &Site, version: u64) -> bool {
     eventually(TIMEOUT, || async {
         for proxy in &site.proxies {
@@ -34,7 +34,7 @@
     .await
 }
 
-/// Writes `id` through proxy `index` until it is acknowledged.
+/// Repeats the write of `id` through proxy `index` until it is acknowledged.
 async fn write(site: &Site, index: usize, id: &str) {
     let written = eventually(TIMEOUT, || async {
         let member = connect(&site.proxies[index], "member", "").await;
@@ -44,7 +44,7 @@
     assert!(written, "{id} is acknowledged");
 }
 
-/// Guards against proxies that wait for revisions which the KV has yet to reach again.
+/// Proxies must not wait until the restored KV reaches their last revision again.
 #[tokio::test]
 async fn bundle_put_after_a_restore_is_applied() {
     let site = site("kv-restore-bundle").await;
@@ -54,7 +54,7 @@
     }
     assert!(is_applied(&site, LOST_VERSIONS).await);
 
-    site.restore_kv(BACKUP_AGE).await;
+    site.restore_kv(SNAPSHOT_AGE).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let kept = is_applied(&site, LOST_VERSIONS).await;
     let (put, text) = site.put_bundle(LOST_VERSIONS + 1);
@@ -63,8 +63,8 @@
     assert!(put && is_applied(&site, LOST_VERSIONS + 1).await, "{text}");
 }
 
-/// The KV forgets a promotion. Guards against a record that stays behind the servers, and against a group
-/// whose next primary is not replaced, as every claim rests on a revision that is no more.
+/// A restore loses the record of a promotion. The record must be written again, and the next
+/// primary must be replaceable although its claims refer to a revision that no longer exists.
 #[tokio::test]
 async fn promotion_lost_in_a_restore_is_recorded_again() {
     let site = site("kv-restore-promotion").await;
@@ -73,7 +73,7 @@
     let before = site.wait_for_new_primary(1).await;
     write(&site, 0, "order-2").await;
 
-    site.restore_kv(BACKUP_AGE * 4).await;
+    site.restore_kv(SNAPSHOT_AGE * 4).await;
     let is_restored = eventually(TIMEOUT, || async {
         site.primary_record().await == Some(before.clone())
     })
@@ -95,8 +95,8 @@
     }
 }
 
-/// The KV forgets the record of a group altogether, and the primary dies. Guards against claims on a record
-/// that is gone.
+/// A restore loses the group's record, and the primary dies. A claim must be possible without a
+/// record.
 #[tokio::test]
 async fn group_without_a_record_after_a_restore_fails_over() {
     let site = Site::build(&Layout::new("kv-restore-none", THREE)).await;
--- a/crates/e2e/tests/routing.rs
+++ b/crates/e2e/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where reads go when the proxy's view of the replicas is behind.
+//! Routing of reads while the proxy's status of the replicas is outdated.
 
 mod fixture;
 
@@ -7,13 +7,12 @@
 use fixture::{connect, eventually, scalar, Site};
 
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// A status period far longer than the test, so the view keeps the first poll's positions.
+/// Longer than the test, so that the proxy keeps the positions of its first status request.
 const LONG_STATUS_INTERVAL: &str = "[backend]\nstatus_every = \"60s\"\n";
 
-/// A lookup session with no token takes the primary's position as its floor, which is above
-/// what the view last saw on the replicas. The replicas apply it 20 ms later; the session's
-/// reads must then be served by a replica, found by asking it for its position, and not all
-/// go to the primary until the next status poll.
+/// A new session without a token requires the primary's current position, which is higher than the
+/// replicas' last known ones. The proxy must ask a replica for its position instead of sending all
+/// reads to the primary until the next status request.
 #[tokio::test]
 async fn replica_with_outdated_status_serves_reads() {
     let site = Site::start_with("check", 1, 20, LONG_STATUS_INTERVAL).await;
--- a/crates/e2e/tests/smoke.rs
+++ b/crates/e2e/tests/smoke.rs
@@ -1,4 +1,5 @@
-//! The thin path end to end: KV, group, two proxies and the CLI, each its own process.
+//! Basic operation end to end, with the KV, the group, two proxies and the CLI as separate
+//! processes.
 
 mod fixture;
 
@@ -8,8 +9,8 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A write through proxy 0; the session moves to proxy 1 with its token and reads the row at
-/// once. The replicas lag 300 ms, so a read that ignored the token would miss it.
+/// A session moves to another proxy with its token and reads its write at once. The replicas lag,
+/// so a read that ignored the token would miss the write.
 #[tokio::test]
 async fn read_your_writes_after_roaming() {
     let site = Site::start("roam", 2, 300).await;
@@ -29,8 +30,8 @@
     assert_eq!(seen.as_deref(), Some("order-1"), "token {token}");
 }
 
-/// With no token, a new session still sees writes acknowledged before it connected: the
-/// proxy takes the primary's position as a barrier before the first read.
+/// A new session without a token sees all writes acknowledged before it connected, as the proxy
+/// asks the primary for its position before the first read.
 #[tokio::test]
 async fn read_your_writes_without_token() {
     let site = Site::start("barrier", 2, 300).await;
@@ -46,8 +47,8 @@
     assert_eq!(seen.as_deref(), Some("order-2"));
 }
 
-/// A caller that allows 5 s of staleness is served by a replica, seen in the answer (which
-/// server ran it) and in the proxy's metrics.
+/// A caller that accepts 5 s of staleness is served by a replica, according to the answer and to
+/// the proxy's metrics.
 #[tokio::test]
 async fn stale_tolerant_read_goes_to_replica() {
     let site = Site::start("replica", 1, 20).await;
@@ -70,7 +71,7 @@
     assert!(replica_reads, "{metrics}");
 }
 
-/// A bundle put by the CLI is in force on both proxies; an older version is refused.
+/// A bundle put with the CLI is applied by both proxies, and an older version is refused.
 #[tokio::test]
 async fn bundle_is_applied_everywhere_and_never_reverts() {
     let site = Site::start("bundle", 2, 20).await;
@@ -92,9 +93,8 @@
     assert!(refusal.contains("never revert"), "{refusal}");
 }
 
-/// A lookup session is open and is served by a replica. A new bundle allows lookups no
-/// staleness, and the next one knows no lookups any more. Both hold for the open session, not
-/// only for callers that connect later.
+/// A new bundle that forbids stale reads, and one that removes the user, apply to an open session
+/// and not only to later ones.
 #[tokio::test]
 async fn bundle_applies_to_open_sessions() {
     let site = Site::start("open-session", 1, 20).await;
--- a/crates/e2e/tests/standin.rs
+++ b/crates/e2e/tests/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins keep what their faults promise, since the other tests build on it.
+//! The stand-in's faults behave as documented, since the other tests depend on them.
 
 mod fixture;
 
@@ -7,25 +7,25 @@
 use tokio::net::TcpStream;
 use tokio_postgres::Client;
 
-/// How often the server is killed; a statement that slips through once is a failure.
+/// Many repetitions, as the race between a kill and a late answer is rare.
 const KILLS: usize = 100;
-/// Connections open at each kill, of which the last to be closed has the most time to answer.
+/// The more connections there are to close, the more time the last one has to answer.
 const CONNECTIONS_PER_KILL: usize = 16;
 
-/// A group of three servers and their addresses.
+/// Starts a group of three servers; returns the process and the addresses.
 fn group() -> (Process, Vec<String>) {
     let group = start("dp-standin", &["group", "--lag-ms", "20"]);
     let servers = group.first_line.split(',').map(str::to_owned).collect();
     (group, servers)
 }
 
-/// Sets a fault of server 0 by a call to another server, which is not affected.
+/// Sets a fault of server 0 through a connection to another server.
 async fn set_fault(via: &Client, fault: &str) {
     let query = format!("SELECT dandelionpitch_fault('{fault}', 0, '')");
     via.simple_query(&query).await.expect("the fault is set");
 }
 
-/// A connection to `server` with a transaction open that has written a row.
+/// Connects to `server` and writes a row in a transaction, which stays open.
 async fn in_transaction(server: &str) -> Client {
     let client = connect_to(server, "member", "").await;
     client.simple_query("BEGIN").await.expect("begins");
@@ -38,10 +38,8 @@
     TcpStream::connect(server).await.is_err()
 }
 
-/// Callers have transactions open on a server when it is killed. The kill is answered by another
-/// server, and the callers go on right after that answer. None of them may get one, and no new
-/// caller is let in: a caller that is told of a row by a server that is gone takes its
-/// transaction for alive. Once the start is answered, the server serves again.
+/// Once the kill of a server is acknowledged, the server must not answer any statement or accept a
+/// connection. Otherwise a caller takes a transaction for open that is lost.
 #[tokio::test]
 async fn killed_server_answers_nothing() {
     let (_group, servers) = group();
--- a/crates/e2e/tests/sweep_table.rs
+++ b/crates/e2e/tests/sweep_table.rs
@@ -1,4 +1,4 @@
-//! The tables of docs/CAPACITY.md are made from recorded sweeps by a script.
+//! `scripts/sweep-table` makes the tables of docs/CAPACITY.md from recorded sweeps.
 
 use std::{
     path::{Path, PathBuf},
@@ -31,7 +31,7 @@
     );
 }
 
-/// A sweep takes many minutes and is ended now and then. A table of what it had until then would look whole.
+/// A sweep that was interrupted must be rejected, as a table of its results would look complete.
 #[test]
 fn truncated_sweep_is_an_error() {
     let complete =
--- a/crates/e2e/tests/terms.rs
+++ b/crates/e2e/tests/terms.rs
@@ -1,4 +1,5 @@
-//! A term belongs to whoever claimed it: no other proxy gets it, however late its owner acts.
+//! A term belongs to the proxy that claimed it. No other proxy uses it, even if the claimant is
+//! late.
 
 mod fixture;
 
@@ -12,10 +13,10 @@
 use fixture::{connect, eventually, insert, Layout, Site};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// How many servers of the three a new term needs.
+/// The number of servers that must accept a term before a promotion.
 const QUORUM: usize = 2;
 
-/// Claims the term after the recorded one, as a proxy does that is paused right after it.
+/// Claims the next term, as a proxy does that is paused right after that. Returns the term.
 async fn claim(site: &Site) -> u64 {
     let kv = kv::Client::new(site.kv_url());
     let key = keys::primary("ledger");
@@ -32,8 +33,8 @@
     claim.term
 }
 
-/// Does what the paused claimant still has to do: has the servers hold `term`, and promotes one
-/// of them if a quorum does. Returns which server it promoted.
+/// Does what a claimant does after its claim: fences the servers at `term` and, with a quorum,
+/// promotes one of them. Returns the index of that server.
 async fn resume_claim(site: &Site, term: u64) -> Option<usize> {
     let mut fenced = Vec::new();
     for index in 0..site.servers().len() {
@@ -50,7 +51,7 @@
     promoted.is_ok().then_some(fenced[0])
 }
 
-/// Waits until the record names a server again.
+/// Waits until the record names a primary.
 async fn wait_for_recorded_primary(site: &Site) -> Record {
     let named = eventually(TIMEOUT, || async {
         let record = site.primary_record().await;
@@ -61,10 +62,10 @@
     site.primary_record().await.expect("a record")
 }
 
-/// A proxy claims term 2 and is paused before a server has heard of it; the primary goes on at
-/// term 1. The claim lapses, and later the primary dies and is replaced. Then the claimant goes on,
-/// unaware. Had the record gone back to term 1, the replacement would have term 2 as well, and the
-/// claimant would promote a second primary at it, whose commits overwrite the first one's.
+/// A proxy claims term 2 and is paused before it has fenced a server. The claim expires, the
+/// primary dies and is replaced, and then the claimant resumes. If the record had gone back to term
+/// 1, the replacement would have term 2 too. The claimant would promote a second primary at that
+/// term, whose commits overwrite those of the first.
 #[tokio::test]
 async fn expired_claim_reserves_its_term() {
     let site = Site::build(&Layout::new("lapsed", &["dc-1", "dc-1"])).await;
--- a/crates/e2e/tests/trace.rs
+++ b/crates/e2e/tests/trace.rs
@@ -1,5 +1,5 @@
-//! A caller complains about one request: its id and the proxies' log lines must be enough to find
-//! the cause (`docs/OPERATIONS.md`).
+//! `dpctl trace` explains a request from its id and the log lines of the proxies
+//! (`docs/OPERATIONS.md`).
 
 mod fixture;
 
@@ -10,10 +10,10 @@
 
 use fixture::line::{Answer, Site, LATEST, URGENT};
 
-/// As many as one proxy opens to a server of five slots.
+/// The connections that one proxy opens to a server with five slots.
 const CONNECTIONS_PER_SERVER: usize = 15;
 
-/// Writes what a proxy has logged so far into a file, as operators collect it.
+/// Writes the log lines of proxy 0 to a file.
 fn write_log_file(site: &Site, name: &str) -> PathBuf {
     std::thread::sleep(Duration::from_millis(300));
     let path = std::env::temp_dir().join(format!("dp-log-{name}-{}", std::process::id()));
@@ -32,8 +32,9 @@
     text
 }
 
-/// More callers write than connections serve in time. One is refused at once; its line says that
-/// work was waiting, and when to come back. Of many at once only some get a line of their own.
+/// Open transactions hold all connections while many more callers write. The log line of a refused
+/// statement states the reason and the retry delay. Log lines of refusals are rate-limited, so the
+/// test looks for a refusal that has one.
 #[tokio::test]
 async fn refusal_under_load() {
     let site = Site::start("explain-load", 1).await;
@@ -70,8 +71,8 @@
     assert!(text.contains("come back in"), "{text}");
 }
 
-/// The primary stops being heard by its replicas, and a write there gets no answer: its outcome is
-/// unknown. The lines name the server, and the failover that followed.
+/// The primary is partitioned from its replicas, so a write there gets no answer and its outcome is
+/// unknown. The trace names the server, and the log has the failover that followed.
 #[tokio::test]
 async fn outcome_unknown_in_a_failover() {
     let site = Site::start("explain-unknown", 1).await;
@@ -100,8 +101,8 @@
     assert!(all.contains("\"kind\":\"promoted\""), "{all}");
 }
 
-/// Nothing proves any more that the primary leads: a read that must see every commit is refused, and
-/// its line says so.
+/// The proxy can no longer confirm that the primary still leads. A linearizable read is refused,
+/// and its log line says why.
 #[tokio::test]
 async fn read_without_a_confirmed_primary_is_refused() {
     let site = Site::start("explain-read", 1).await;
@@ -121,7 +122,7 @@
     assert!(text.contains("not proved to lead"), "{text}");
 }
 
-/// An id that no log has is said to be unknown.
+/// Tracing an id that is in no log is an error.
 #[tokio::test]
 async fn unknown_id_is_an_error() {
     let site = Site::start("explain-none", 1).await;
