--- a/crates/e2e/tests/assignment.rs
+++ b/crates/e2e/tests/assignment.rs
@@ -65,7 +65,10 @@
     let (site, watchers) = site("duty").await;
     let others = others(&site, &watchers);
     let member = connect(others[0], "member", "").await;
-    member.simple_query(&insert("order-1")).await.expect("runs");
+    member
+        .simple_query(&insert("order-1"))
+        .await
+        .expect("the statement succeeds");
     let token = scalar(&member, "SHOW dandelionpitch.position").await;
     let options = format!("-c dandelionpitch.position={}", token.expect("a token"));
     let query = "SELECT * FROM ledger WHERE id = 'order-1'";
--- a/crates/e2e/tests/bad_input.rs
+++ b/crates/e2e/tests/bad_input.rs
@@ -35,7 +35,7 @@
         .connect(tokio_postgres::NoTls)
         .await
         .err()
-        .expect("refused");
+        .expect("the connection is refused");
 
     let code = error.as_db_error().map(|db| db.code().code().to_owned());
     assert_eq!(code.as_deref(), Some("28000"), "{error}");
--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -109,7 +109,7 @@
 
     assert_eq!(violations, Violations::default());
     history::assert_writes_resumed(&attempts, promoted_at);
-    assert_eq!(record.term, 2, "one promotion was enough");
+    assert_eq!(record.term, 2, "one promotion is sufficient");
     assert_eq!(reported_primaries(&site, &[1, 2]).await.len(), 1);
 }
 
@@ -183,7 +183,7 @@
     assert_eq!(record.term, 2);
     assert!(
         primaries.contains(&(0, 1)),
-        "the old primary still led: {primaries:?}"
+        "the old primary still reports its role: {primaries:?}"
     );
     let on_partitioned_side =
         |a: &&Attempt| a.id.starts_with("w0") && a.sent > partitioned_at && a.sent < healed_at;
@@ -326,23 +326,26 @@
 async fn open_transaction_is_rolled_back_entirely() {
     let site = Site::build(&Layout::new("tx", TWO_IN_ONE_DC)).await;
     let member = connect(&site.proxies[0], "member", "").await;
-    member.simple_query("BEGIN").await.expect("begins");
-    member.simple_query(&insert("tx-1")).await.expect("runs");
+    member.simple_query("BEGIN").await.expect("BEGIN succeeds");
+    member
+        .simple_query(&insert("tx-1"))
+        .await
+        .expect("the statement succeeds");
 
     site.fault(1, "kill", 0, "").await;
     let first = refusal(&member, &insert("tx-2")).await;
     let second = refusal(&member, &insert("tx-3")).await;
     let commit = member.simple_query("COMMIT").await;
     site.wait_for_new_primary(1).await;
-    member.simple_query(&insert("alone")).await.expect("runs");
+    member
+        .simple_query(&insert("alone"))
+        .await
+        .expect("the statement succeeds");
     let rows = history::read_log(&site.server(1).await).await;
 
     assert_eq!(first.as_deref(), Some("57P03"));
     assert_eq!(second.as_deref(), Some("25P02"));
-    assert!(
-        commit.is_ok(),
-        "the end of a failed transaction is accepted"
-    );
+    assert!(commit.is_ok(), "COMMIT of a failed transaction is accepted");
     let ids: Vec<&String> = rows.keys().collect();
     assert_eq!(ids, ["alone"]);
 }
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -22,13 +22,19 @@
 async fn proxy_killed_in_a_transaction() {
     let mut site = Site::build(&Layout::new("proxy-killed", TWO_IN_ONE_DC)).await;
     let member = connect(&site.proxies[0], "member", "").await;
-    member.simple_query("BEGIN").await.expect("begins");
-    member.simple_query(&insert("tx-1")).await.expect("runs");
+    member.simple_query("BEGIN").await.expect("BEGIN succeeds");
+    member
+        .simple_query(&insert("tx-1"))
+        .await
+        .expect("the statement succeeds");
 
     site.proxies[0].process.kill();
     let commit = member.simple_query("COMMIT").await;
     let other = connect(&site.proxies[1], "strict", "").await;
-    other.simple_query(&insert("alone")).await.expect("runs");
+    other
+        .simple_query(&insert("alone"))
+        .await
+        .expect("the statement succeeds");
     let query = "SELECT * FROM ledger WHERE id = 'tx-1'";
     let seen = scalar(&other, query).await;
     let rows = history::read_log(&site.server(0).await).await;
@@ -49,16 +55,25 @@
     let second = connect(&site.proxies[0], "member", "").await;
     let query = format!("BEGIN; {}", insert("script-1"));
 
-    first.simple_query(&query).await.expect("runs");
+    first
+        .simple_query(&query)
+        .await
+        .expect("the statement succeeds");
     let refused = fixture::refusal(&second, &insert("early")).await;
-    first.simple_query("ROLLBACK").await.expect("rolls back");
-    second.simple_query(&insert("late")).await.expect("runs");
+    first
+        .simple_query("ROLLBACK")
+        .await
+        .expect("ROLLBACK succeeds");
+    second
+        .simple_query(&insert("late"))
+        .await
+        .expect("the statement succeeds");
     let rows = history::read_log(&site.server(0).await).await;
 
     assert_eq!(
         refused.as_deref(),
         Some("57P03"),
-        "the only connection is taken"
+        "the only connection is in use"
     );
     assert_eq!(rows.keys().collect::<Vec<_>>(), ["late"]);
 }
@@ -92,7 +107,7 @@
     assert!(attempts.iter().all(|a| a.outcome == Outcome::Acked));
     assert!(history::longest_gap(&attempts, since) < Duration::from_secs(1));
     let term = site.primary_record().await.map(|record| record.term);
-    assert_eq!(term, Some(1), "nobody was promoted for it");
+    assert_eq!(term, Some(1), "no server was promoted");
 }
 
 /// Eight operators put versions 2 to 9 at the same time. Each is told whether its version was
@@ -113,7 +128,7 @@
             .map(|(version, _)| version)
             .collect()
     });
-    let highest = *accepted.iter().max().expect("one was accepted");
+    let highest = *accepted.iter().max().expect("a version was accepted");
     let is_applied = eventually(TIMEOUT, || async {
         versions(&site)
             .await
@@ -126,7 +141,7 @@
     assert_eq!(before, [1, 1]);
     assert!(
         is_applied,
-        "accepted {accepted:?}, in force {:?}",
+        "accepted {accepted:?}, applied {:?}",
         versions(&site).await
     );
     assert!(status, "{text}");
@@ -154,8 +169,11 @@
     let slow = connect(&site.proxies[0], "lookup", "").await;
     let buyer = connect(&site.proxies[0], "member", "").await;
     let idle = connect(&site.proxies[0], "member", "").await;
-    buyer.simple_query("BEGIN").await.expect("begins");
-    buyer.simple_query(&insert("tx-1")).await.expect("runs");
+    buyer.simple_query("BEGIN").await.expect("BEGIN succeeds");
+    buyer
+        .simple_query(&insert("tx-1"))
+        .await
+        .expect("the statement succeeds");
     let answer = tokio::spawn(async move {
         let sleep = "SELECT dandelionpitch_sleep(1000)";
         slow.simple_query(sleep).await
@@ -165,15 +183,18 @@
     site.proxies[0].process.terminate();
     let closed = eventually(OBSERVATION_PERIOD, || async { idle.is_closed() }).await;
     let ready = reqwest::get(format!("http://{}/ready", site.proxies[0].operator)).await;
-    buyer.simple_query(&insert("tx-2")).await.expect("runs");
-    buyer.simple_query("COMMIT").await.expect("commits");
-    let rows = answer.await.unwrap().expect("the whole answer");
+    buyer
+        .simple_query(&insert("tx-2"))
+        .await
+        .expect("the statement succeeds");
+    buyer.simple_query("COMMIT").await.expect("COMMIT succeeds");
+    let rows = answer.await.unwrap().expect("the complete answer");
     let ended = site.proxies[0]
         .process
         .wait_for_exit(Duration::from_secs(3));
     let kept = history::read_log(&site.server(0).await).await;
 
-    assert!(closed, "the resting session was closed");
+    assert!(closed, "the idle session was closed");
     assert!(!ready.is_ok_and(|answer| answer.status().is_success()));
     assert!(!rows.is_empty());
     assert!(ended, "the process ended");
@@ -196,7 +217,7 @@
 
     for (member, value) in members.iter().zip(["centrs", "imanta"]) {
         let set = format!("SET app.pharmacy = '{value}'");
-        member.simple_query(&set).await.expect("is set");
+        member.simple_query(&set).await.expect("SET succeeds");
     }
     let mut seen = Vec::new();
     for _ in 0..3 {
@@ -204,10 +225,19 @@
             seen.push(scalar(member, show).await);
         }
     }
-    members[0].simple_query("BEGIN").await.expect("begins");
+    members[0]
+        .simple_query("BEGIN")
+        .await
+        .expect("BEGIN succeeds");
     let inside = scalar(&members[0], show).await;
-    members[0].simple_query("COMMIT").await.expect("commits");
-    members[1].simple_query("DISCARD ALL").await.expect("runs");
+    members[0]
+        .simple_query("COMMIT")
+        .await
+        .expect("COMMIT succeeds");
+    members[1]
+        .simple_query("DISCARD ALL")
+        .await
+        .expect("the statement succeeds");
     let after_discard = scalar(&members[1], show).await;
 
     let expected = [Some("centrs".to_owned()), Some("imanta".to_owned()), None];
@@ -236,7 +266,7 @@
         servers.push(scalar(&lookup, show).await.expect("an answer"));
     }
 
-    assert!(served, "it served before");
+    assert!(served, "the replica served reads before");
     assert!(servers.iter().all(|server| server == "1"), "{servers:?}");
 }
 
@@ -267,7 +297,10 @@
     assert_eq!(violations, Violations::default());
     let refused = |a: &&history::Attempt| a.outcome != Outcome::Acked;
     let refused: Vec<_> = attempts.iter().filter(refused).collect();
-    assert!(refused.len() <= 2, "only what was under way: {refused:?}");
+    assert!(
+        refused.len() <= 2,
+        "more than the statements in flight: {refused:?}"
+    );
 }
 
 /// A caller runs 18 statements that succeed, one that fails because of the caller and one that
@@ -279,7 +312,10 @@
     let member = connect(&site.proxies[0], "member", "").await;
     for number in 0..18 {
         let query = insert(&format!("order-{number}"));
-        member.simple_query(&query).await.expect("runs");
+        member
+            .simple_query(&query)
+            .await
+            .expect("the statement succeeds");
     }
     let duplicate = fixture::refusal(&member, &insert("order-0")).await;
     site.kv_fault("dc-1", serde_json::json!({ "down": true }))
--- a/crates/e2e/tests/forwarding.rs
+++ b/crates/e2e/tests/forwarding.rs
@@ -144,7 +144,11 @@
     }
 
     assert!(waited <= RECOVERY_TIMEOUT, "{waited:?}");
-    assert!(acknowledged.len() > 20, "{} kept", acknowledged.len());
+    assert!(
+        acknowledged.len() > 20,
+        "{} acknowledged",
+        acknowledged.len()
+    );
     for data in &acknowledged {
         assert_eq!(site.count_in_log("numbers", data).await, 1, "{data}");
     }
--- a/crates/e2e/tests/line.rs
+++ b/crates/e2e/tests/line.rs
@@ -202,7 +202,7 @@
 
     let url = format!("http://{}/metrics", site.proxies[0].operator);
     let answer = reqwest::get(url).await.expect("the proxy answers");
-    let text = answer.text().await.expect("text");
+    let text = answer.text().await.expect("UTF-8 text");
 
     for expected in [
         "statements{outcome=\"ok\"} 1",
@@ -226,14 +226,14 @@
     std::fs::write(&path, text).expect("settings are written");
 
     let mut child = std::process::Command::new(fixture::bin("dandelionpitch"))
-        .args(["--config", path.to_str().expect("a text path")])
+        .args(["--config", path.to_str().expect("a UTF-8 path")])
         .stderr(std::process::Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    let status = child.wait().expect("it ends");
+    let status = child.wait().expect("the process exits");
     let mut message = String::new();
     let mut stderr = child.stderr.take().expect("stderr is piped");
-    stderr.read_to_string(&mut message).expect("text");
+    stderr.read_to_string(&mut message).expect("UTF-8 text");
     let _ = std::fs::remove_file(&path);
 
     assert_eq!(status.code(), Some(2));
--- a/crates/e2e/tests/line_faults.rs
+++ b/crates/e2e/tests/line_faults.rs
@@ -285,13 +285,17 @@
     let mut late = site.caller(0, LATEST);
     assert!(
         late.query("FETCH b").is_done(),
-        "callers still come for a moment"
+        "new callers are still accepted for a moment"
     );
     std::thread::sleep(Duration::from_millis(400));
     let commit = open.query("COMMIT");
 
     assert!(commit.is_done(), "{commit:?}");
-    assert_eq!(idle.next_line(), "", "closed without a word");
+    assert_eq!(
+        idle.next_line(),
+        "",
+        "the session is closed without a message"
+    );
     assert!(site.proxies[0]
         .process
         .wait_for_exit(Duration::from_secs(6)));
--- a/crates/e2e/tests/line_restores.rs
+++ b/crates/e2e/tests/line_restores.rs
@@ -47,9 +47,13 @@
 /// Whether all servers promoted after the first `earlier` promotions had `item` in their logs.
 async fn later_primaries_have(site: &Site, earlier: usize, item: &str) -> bool {
     let promotions = site.promotions().await;
-    let mut later = promotions.as_array().expect("a list").iter().skip(earlier);
+    let mut later = promotions
+        .as_array()
+        .expect("an array")
+        .iter()
+        .skip(earlier);
     let has = |promotion: &serde_json::Value| {
-        let log = promotion["log"].as_array().expect("a log");
+        let log = promotion["log"].as_array().expect("an array");
         log.iter().any(|entry| entry[0] == json!(item))
     };
     later.all(has)
--- a/crates/e2e/tests/membership.rs
+++ b/crates/e2e/tests/membership.rs
@@ -37,7 +37,7 @@
             || async { operator_json(proxy, "/status").await["bundle_version"] == version };
         assert!(
             eventually(TIMEOUT, is_applied).await,
-            "version {version} in force"
+            "version {version} is applied"
         );
     }
 }
@@ -275,7 +275,11 @@
         .for_each(|proxy| proxy.process.kill());
     let kv = kv::Client::new(site.kv_url());
     let key = keys::primary("ledger");
-    let now = kv.get(&key).await.expect("the KV").expect("a record");
+    let now = kv
+        .get(&key)
+        .await
+        .expect("the KV answers")
+        .expect("a record");
     let update = kv.put_if(&key, b"not a record", now.mod_revision).await;
     site.restart_proxies();
     remove_servers(&site, 2, &[2]).await;
@@ -287,7 +291,11 @@
     write(&site, "order-2").await;
 
     assert!(matches!(update, Ok(Swap::Done { .. })));
-    let stored = kv.get(&key).await.expect("the KV").expect("a record");
+    let stored = kv
+        .get(&key)
+        .await
+        .expect("the KV answers")
+        .expect("a record");
     assert_eq!(stored.value, b"not a record", "{status:?}");
 }
 
--- a/crates/e2e/tests/restores.rs
+++ b/crates/e2e/tests/restores.rs
@@ -59,7 +59,7 @@
     let kept = is_applied(&site, LOST_VERSIONS).await;
     let (put, text) = site.put_bundle(LOST_VERSIONS + 1);
 
-    assert!(kept, "no proxy goes back");
+    assert!(kept, "no proxy reverts");
     assert!(put && is_applied(&site, LOST_VERSIONS + 1).await, "{text}");
 }
 
@@ -86,10 +86,7 @@
     write(&site, 2, "order-4").await;
     let rows = site.primary_rows(&after).await;
 
-    assert!(
-        is_restored || term >= before.term,
-        "the record is written again"
-    );
+    assert!(is_restored || term >= before.term, "the record is restored");
     for order in ["order-1", "order-2", "order-3", "order-4"] {
         assert!(rows.contains_key(order), "{order} is lost");
     }
--- a/crates/e2e/tests/smoke.rs
+++ b/crates/e2e/tests/smoke.rs
@@ -125,5 +125,5 @@
 
     assert!(on_replica && is_applied);
     assert!(after.iter().all(|server| server == "0"), "{after:?}");
-    assert!(refused, "an unknown caller's session goes on");
+    assert!(refused, "the session of an unknown caller continues");
 }
--- a/crates/e2e/tests/standin.rs
+++ b/crates/e2e/tests/standin.rs
@@ -28,8 +28,11 @@
 /// Connects to `server` and writes a row in a transaction, which stays open.
 async fn in_transaction(server: &str) -> Client {
     let client = connect_to(server, "member", "").await;
-    client.simple_query("BEGIN").await.expect("begins");
-    client.simple_query(&insert("row")).await.expect("runs");
+    client.simple_query("BEGIN").await.expect("BEGIN succeeds");
+    client
+        .simple_query(&insert("row"))
+        .await
+        .expect("the statement succeeds");
     client
 }
 
--- a/crates/e2e/tests/sweep_table.rs
+++ b/crates/e2e/tests/sweep_table.rs
@@ -34,19 +34,19 @@
 /// A sweep that was interrupted must be rejected, as a table of its results would look complete.
 #[test]
 fn truncated_sweep_is_an_error() {
-    let complete =
-        std::fs::read_to_string(root().join("docs/sweeps/before.txt")).expect("recorded");
+    let complete = std::fs::read_to_string(root().join("docs/sweeps/before.txt"))
+        .expect("the recorded sweep is readable");
     let truncated: String = complete
         .lines()
         .take(3)
         .map(|line| format!("{line}\n"))
         .collect();
     let path = std::env::temp_dir().join(format!("dp-sweep-{}.txt", std::process::id()));
-    std::fs::write(&path, truncated).expect("it is written");
+    std::fs::write(&path, truncated).expect("the file is written");
 
     let output = run_script(&path);
 
-    std::fs::remove_file(&path).expect("it is removed");
+    std::fs::remove_file(&path).expect("the file is removed");
     assert!(!output.status.success());
     assert!(text(&output.stdout).is_empty());
     assert!(
--- a/crates/e2e/tests/terms.rs
+++ b/crates/e2e/tests/terms.rs
@@ -20,7 +20,11 @@
 async fn claim(site: &Site) -> u64 {
     let kv = kv::Client::new(site.kv_url());
     let key = keys::primary("ledger");
-    let now = kv.get(&key).await.expect("the KV").expect("a record");
+    let now = kv
+        .get(&key)
+        .await
+        .expect("the KV answers")
+        .expect("a record");
     let recorded = Record::parse(&now.value).expect("a record");
     let claim = Record {
         term: recorded.term + 1,
@@ -85,7 +89,10 @@
     })
     .await;
 
-    assert_eq!(second_primary, None, "a second primary at term {claimed}");
+    assert_eq!(
+        second_primary, None,
+        "the claimant promoted a second primary at term {claimed}"
+    );
     assert!(after_expiry.term > claimed, "{after_expiry:?}");
     assert!(replaced.term > after_expiry.term, "{replaced:?}");
     assert!(written);
--- a/crates/e2e/tests/trace.rs
+++ b/crates/e2e/tests/trace.rs
@@ -21,13 +21,13 @@
         .process
         .log
         .lock()
-        .expect("no writer panics");
-    std::fs::write(&path, lines.join("\n")).expect("the log is written");
+        .expect("log lock is not poisoned");
+    std::fs::write(&path, lines.join("\n")).expect("the log file is written");
     path
 }
 
 fn trace(id: &str, log: &Path) -> String {
-    let (found, text) = fixture::dpctl(&["trace", id, log.to_str().expect("a text path")]);
+    let (found, text) = fixture::dpctl(&["trace", id, log.to_str().expect("a UTF-8 path")]);
     assert!(found, "{text}");
     text
 }
@@ -57,13 +57,13 @@
         .map(|caller| caller.read_answer())
         .collect();
     let log = write_log_file(&site, "load");
-    let lines = std::fs::read_to_string(&log).expect("the log is there");
+    let lines = std::fs::read_to_string(&log).expect("the log file is readable");
     let is_logged_refusal = |index: &usize| {
         answers[*index].code() == "BUSY" && lines.contains(&format!("\"load{index}\""))
     };
     let refused = (0..answers.len()).find(is_logged_refusal);
     let text = trace(
-        &format!("load{}", refused.expect("a refusal with a line")),
+        &format!("load{}", refused.expect("a refusal with a log line")),
         &log,
     );
 
@@ -92,12 +92,12 @@
     let (_, json) = fixture::dpctl(&[
         "trace",
         "doubtful",
-        log.to_str().expect("a text path"),
+        log.to_str().expect("a UTF-8 path"),
         "--output",
         "json",
     ]);
     assert!(json.lines().all(|line| line.starts_with('{')), "{json}");
-    let all = std::fs::read_to_string(&log).expect("the log is there");
+    let all = std::fs::read_to_string(&log).expect("the log file is readable");
     assert!(all.contains("\"kind\":\"promoted\""), "{all}");
 }
 
@@ -128,7 +128,7 @@
     let site = Site::start("explain-none", 1).await;
     let log = write_log_file(&site, "none");
 
-    let (found, text) = fixture::dpctl(&["trace", "nobody", log.to_str().expect("a text path")]);
+    let (found, text) = fixture::dpctl(&["trace", "nobody", log.to_str().expect("a UTF-8 path")]);
 
     assert!(!found);
     assert!(text.contains("no line about request nobody"), "{text}");
