--- a/crates/e2e/tests/assignment.rs
+++ b/crates/e2e/tests/assignment.rs
@@ -17,11 +17,11 @@
 
 /// Starts six proxies in three data centres and waits until they know each other. Also returns the
 /// indexes of the proxies that watch the group.
-async fn site(name: &str) -> (Site, Vec<usize>) {
+async fn start_site(name: &str) -> (Site, Vec<usize>) {
     start_site_with_settings(name, "").await
 }
 
-/// As [`site`], with `settings` appended to the settings of every proxy.
+/// As [`start_site`], with `settings` appended to the settings of every proxy.
 async fn start_site_with_settings(name: &str, settings: &str) -> (Site, Vec<usize>) {
     let mut layout = Layout::new(name, SIX_IN_THREE_DCS);
     layout.settings = settings;
@@ -62,7 +62,7 @@
 /// Callers of the other proxies read their own writes and are served by replicas.
 #[tokio::test]
 async fn group_is_served_by_proxies_that_do_not_watch_it() {
-    let (site, watchers) = site("duty").await;
+    let (site, watchers) = start_site("duty").await;
     let others = others(&site, &watchers);
     let member = connect(others[0], "member", "").await;
     member
@@ -99,7 +99,7 @@
 /// proxy learns of the new primary from the record in the KV.
 #[tokio::test]
 async fn failover_reaches_proxies_that_do_not_watch() {
-    let (site, watchers) = site("duty-failover").await;
+    let (site, watchers) = start_site("duty-failover").await;
     let writer = Writer::start(others(&site, &watchers)[0], "w");
     tokio::time::sleep(OBSERVATION_PERIOD).await;
 
@@ -152,7 +152,7 @@
 /// group.
 #[tokio::test]
 async fn dead_watcher_is_replaced() {
-    let (mut site, watchers) = site("duty-dead").await;
+    let (mut site, watchers) = start_site("duty-dead").await;
     let dead = watchers[0];
     let record = dandelionpitch_core::keys::proxy(&site.proxies[dead].dc, &format!("proxy-{dead}"));
 
@@ -172,7 +172,7 @@
 /// the group when the heartbeat leases expire, and replace the primary within [`RECOVERY_TIMEOUT`].
 #[tokio::test]
 async fn all_watchers_and_the_primary_lost_at_once() {
-    let (mut site, watchers) = site("duty-all-dead").await;
+    let (mut site, watchers) = start_site("duty-all-dead").await;
 
     for &dead in &watchers {
         site.proxies[dead].process.kill();
@@ -190,7 +190,7 @@
 /// group cannot read the new record. It must find the new primary by asking the servers.
 #[tokio::test]
 async fn failover_is_detected_without_the_kv() {
-    let (site, watchers) = site("duty-no-kv").await;
+    let (site, watchers) = start_site("duty-no-kv").await;
     let other = others(&site, &watchers)[0];
     let down = serde_json::json!({ "down": true });
     site.kv_fault(&other.dc, down).await;
--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -24,7 +24,7 @@
 
 /// Starts a site with two proxies and a writer through each, named `w0` and `w1`, which have been
 /// writing for [`OBSERVATION_PERIOD`] on return.
-async fn site_with_writers(name: &str, dcs: &[&str]) -> (Site, Vec<Writer>) {
+async fn start_site_with_writers(name: &str, dcs: &[&str]) -> (Site, Vec<Writer>) {
     let site = Site::build(&Layout::new(name, dcs)).await;
     let start = |(index, proxy)| Writer::start(proxy, &format!("w{index}"));
     let writers = site.proxies.iter().enumerate().map(start).collect();
@@ -99,7 +99,7 @@
 /// with "not run" are not there.
 #[tokio::test]
 async fn primary_killed() {
-    let (site, writers) = site_with_writers("killed", TWO_IN_ONE_DC).await;
+    let (site, writers) = start_site_with_writers("killed", TWO_IN_ONE_DC).await;
 
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
@@ -165,7 +165,7 @@
 /// partition its proxy uses the new primary.
 #[tokio::test]
 async fn partitioned_primary_acknowledges_nothing() {
-    let (site, writers) = site_with_writers("cut", TWO_DCS).await;
+    let (site, writers) = start_site_with_writers("cut", TWO_DCS).await;
 
     site.partition_dc("dc-1", 0, true).await;
     let partitioned_at = Instant::now();
@@ -257,7 +257,7 @@
 /// itself for the primary, and must not acknowledge the writes that it had received.
 #[tokio::test]
 async fn primary_frozen_and_thawed() {
-    let (site, writers) = site_with_writers("frozen", TWO_IN_ONE_DC).await;
+    let (site, writers) = start_site_with_writers("frozen", TWO_IN_ONE_DC).await;
 
     site.fault(1, "freeze", 0, "").await;
     site.wait_for_new_primary(1).await;
@@ -305,7 +305,7 @@
     server
         .simple_query("SELECT dandelionpitch_fence(5)")
         .await
-        .expect("the replica holds term 5");
+        .expect("the replica is fenced at term 5");
     let record = site.wait_for_new_primary(5).await;
     wait_for_writes(&site, 0, "order-1").await;
     let followed = eventually(TIMEOUT, || async {
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -189,16 +189,16 @@
         .expect("the statement succeeds");
     buyer.simple_query("COMMIT").await.expect("COMMIT succeeds");
     let rows = answer.await.unwrap().expect("the complete answer");
-    let ended = site.proxies[0]
+    let exited = site.proxies[0]
         .process
         .wait_for_exit(Duration::from_secs(3));
-    let kept = history::read_log(&site.server(0).await).await;
+    let stored = history::read_log(&site.server(0).await).await;
 
     assert!(closed, "the idle session was closed");
     assert!(!ready.is_ok_and(|answer| answer.status().is_success()));
     assert!(!rows.is_empty());
-    assert!(ended, "the process ended");
-    assert_eq!(kept.len(), 2, "{kept:?}");
+    assert!(exited, "the process exited");
+    assert_eq!(stored.len(), 2, "{stored:?}");
 }
 
 /// Two sessions share one backend connection and set the same variable to different values. Each
--- a/crates/e2e/tests/forwarding.rs
+++ b/crates/e2e/tests/forwarding.rs
@@ -11,13 +11,13 @@
 const MAX_CONNECTIONS: usize = 8;
 
 /// Time limit for service to resume after the owner is lost. This is less than the 4 s after which
-/// the owner's entry expires, as another proxy serves statements that are forwarded to it before
-/// that.
+/// the entry of the owner in the store expires, as another proxy serves statements that are
+/// forwarded to it before that.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts seven proxies of which one owns the connections; returns its index and that of another
 /// proxy.
-async fn site(name: &str) -> (Site, usize, usize) {
+async fn start_site(name: &str) -> (Site, usize, usize) {
     let site = Site::start_with_max_connections(name, 7, MAX_CONNECTIONS, &[]).await;
     let owner = site.wait_for_owners(1).await[0];
     let other = (owner + 1) % 7;
@@ -28,7 +28,7 @@
 /// the proxies would open 14 connections to servers that accept 8.
 #[tokio::test]
 async fn all_callers_are_served_within_the_connection_limit() {
-    let (site, _, _) = site("within").await;
+    let (site, _, _) = start_site("within").await;
     let mut callers: Vec<Caller> = (0..7).map(|proxy| site.caller(proxy, SESSION)).collect();
 
     for round in 0..20 {
@@ -47,7 +47,7 @@
 /// session may see the other's variables, prepared statements or transaction.
 #[tokio::test]
 async fn session_state_is_isolated_across_forwarding() {
-    let (site, _, other) = site("apart").await;
+    let (site, _, other) = start_site("apart").await;
     let mut callers = [site.caller(other, LATEST), site.caller(other, LATEST)];
     for (index, caller) in callers.iter_mut().enumerate() {
         assert!(caller.query(&format!("SET owner {index}")).is_done());
@@ -71,7 +71,7 @@
 /// be rolled back.
 #[tokio::test]
 async fn disconnect_in_a_forwarded_transaction_rolls_back() {
-    let (site, _, other) = site("leaves-handed").await;
+    let (site, _, other) = start_site("leaves-handed").await;
     for _ in 0..20 {
         let mut caller = site.caller(other, LATEST);
         assert!(caller.query("BEGIN").is_done());
@@ -127,18 +127,18 @@
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn lost_owner_is_replaced_and_nothing_is_lost_or_doubled(loss: Loss) {
-    let (mut site, owner, other) = site(&format!("lost-{loss:?}")).await;
+    let (mut site, owner, other) = start_site(&format!("lost-{loss:?}")).await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT numbers before").is_done());
 
-    let begun = Instant::now();
+    let started_at = Instant::now();
     match loss {
         Loss::Killed => site.proxies[owner].process.kill(),
         Loss::Frozen => site.proxies[owner].process.set_paused(true),
         Loss::Stopped => site.proxies[owner].process.terminate(),
     }
     let waited = caller.query_until_done("PUT numbers after", RECOVERY_TIMEOUT * 2);
-    let (acknowledged, unknown) = write_numbers(&mut caller, begun + Duration::from_secs(6));
+    let (acknowledged, unknown) = write_numbers(&mut caller, started_at + Duration::from_secs(6));
     if matches!(loss, Loss::Frozen) {
         site.proxies[owner].process.set_paused(false);
     }
@@ -163,7 +163,7 @@
 /// proxies know, so that no statement is refused.
 #[tokio::test]
 async fn graceful_shutdown_of_the_owner_refuses_nothing() {
-    let (site, owner, other) = site("planned").await;
+    let (site, owner, other) = start_site("planned").await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT a before").is_done());
 
@@ -183,11 +183,11 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// The store is down for longer than the proxies' entries last. The proxies must go on with the
+/// The store is down until the proxies' entries there have expired. The proxies must go on with the
 /// members that they know.
 #[tokio::test]
-async fn expired_heartbeats_are_ignored_while_the_store_is_down() {
-    let (site, _, other) = site("lapsed").await;
+async fn expired_proxy_entries_are_ignored_while_the_store_is_down() {
+    let (site, _, other) = start_site("lapsed").await;
     let mut caller = site.caller(other, LATEST);
 
     site.store_fault("down", true).await;
@@ -206,7 +206,7 @@
 /// A refused statement is in the logs of both proxies under its id.
 #[tokio::test]
 async fn refusal_is_logged_by_both_proxies() {
-    let (site, owner, other) = site("explained").await;
+    let (site, owner, other) = start_site("explained").await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT a v").is_done());
     std::thread::sleep(Duration::from_millis(800));
@@ -230,7 +230,7 @@
 /// a connection of its own at once, and not only when the entries of the others have expired.
 #[tokio::test]
 async fn proxy_that_reaches_no_owner_serves_its_callers() {
-    let (mut site, _, other) = site("alone").await;
+    let (mut site, _, other) = start_site("alone").await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT a before").is_done());
 
--- a/crates/e2e/tests/line.rs
+++ b/crates/e2e/tests/line.rs
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn answers_carry_the_sign_off_of_the_server() {
+async fn answers_carry_the_signature_of_the_server() {
     let site = Site::start("served", 1).await;
     let mut caller = site.caller(0, LATEST);
 
--- a/crates/e2e/tests/line_failovers.rs
+++ b/crates/e2e/tests/line_failovers.rs
@@ -12,7 +12,7 @@
 
 /// Starts one proxy. Promotions take effect 600 ms after their call, and an old primary steps down
 /// 1 s after it learns of the new one.
-async fn site(name: &str) -> Site {
+async fn start_site(name: &str) -> Site {
     let arguments = [
         "--promote-ms",
         "0",
@@ -83,16 +83,16 @@
 /// leads. A third server, if promoted, would lack the commits that the new primary acknowledges.
 #[tokio::test]
 async fn busy_new_primary_loses_no_acknowledged_commit() {
-    let site = site("no-time").await;
+    let site = start_site("no-time").await;
     site.fault(0, "leaving", true).await;
     let (new, _) = wait_for_promotion(&site).await;
     site.fault(new, "busy", true).await;
 
     // The next evaluation is 1.2 s after the promotion call and lasts 300 ms.
-    let another = fixture::eventually(Duration::from_secs(2), || async {
+    let next_attempt = fixture::eventually(Duration::from_secs(2), || async {
         site.log_lines_with("\"kind\":\"failover\"").len() > 1
     });
-    another.await;
+    next_attempt.await;
     site.fault(new, "busy", false).await;
     let acknowledged = write_items(&site);
 
@@ -105,7 +105,7 @@
 /// confirms commits that the promoted server lacks. These must not be acknowledged.
 #[tokio::test]
 async fn replica_restarted_before_the_promotion_loses_no_acknowledged_commit() {
-    let site = site("forgets").await;
+    let site = start_site("forgets").await;
     site.fault(0, "crashed", true).await;
     let (_, other) = wait_for_promotion(&site).await;
 
@@ -124,7 +124,7 @@
 /// not be acknowledged.
 #[tokio::test]
 async fn restarted_old_primary_loses_no_acknowledged_commit() {
-    let site = site("back").await;
+    let site = start_site("back").await;
     site.partition_servers(1, 2, true).await;
     site.fault(0, "crashed", true).await;
     wait_for_promotion(&site).await;
--- a/crates/e2e/tests/line_restores.rs
+++ b/crates/e2e/tests/line_restores.rs
@@ -26,7 +26,7 @@
 }
 
 /// Starts a site and waits until the store has a snapshot of it.
-async fn site(name: &str, proxies: usize) -> Site {
+async fn start_site(name: &str, proxies: usize) -> Site {
     let site = Site::start(name, proxies).await;
     tokio::time::sleep(SNAPSHOT_AGE).await;
     site
@@ -63,7 +63,7 @@
 /// seen.
 #[tokio::test]
 async fn version_put_after_a_restore_is_applied() {
-    let site = site("restore-version", 5).await;
+    let site = start_site("restore-version", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
     site.restore_store(SNAPSHOT_AGE).await;
@@ -82,7 +82,7 @@
 /// theirs again.
 #[tokio::test]
 async fn older_version_in_the_snapshot_is_not_applied() {
-    let site = site("restore-older", 2).await;
+    let site = start_site("restore-older", 2).await;
     configure_up_to(&site, 2, 3).await;
 
     site.restore_store(SNAPSHOT_AGE).await;
@@ -102,7 +102,7 @@
 /// than those that they have seen before the restore.
 #[tokio::test]
 async fn server_draining_after_a_restore_is_noticed() {
-    let site = site("restore-leaving", 5).await;
+    let site = start_site("restore-leaving", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
     site.restore_store(SNAPSHOT_AGE).await;
@@ -120,7 +120,7 @@
 /// outdated record, server list or failover leader in the snapshot.
 #[tokio::test]
 async fn promotion_lost_in_a_restore_loses_no_commit() {
-    let site = site("restore-promotion", 3).await;
+    let site = start_site("restore-promotion", 3).await;
     write(&site, 0, "a", "first");
     site.fault(0, "dead", true).await;
     write(&site, 0, "b", "second");
@@ -151,7 +151,7 @@
 /// failover leader must not get a lower token than an earlier one.
 #[tokio::test]
 async fn fencing_tokens_rise_across_a_restore_and_restarts() {
-    let mut site = site("restore-tokens", 3).await;
+    let mut site = start_site("restore-tokens", 3).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
     // A new election, so that the fencing token is one of the revisions to be lost.
     let failover_leader = site.failover_leader().await;
@@ -188,7 +188,7 @@
 /// A restore without any other fault must not cause errors or wrong reads.
 #[tokio::test]
 async fn restore_causes_no_errors() {
-    let site = site("restore-calm", 3).await;
+    let site = start_site("restore-calm", 3).await;
     write(&site, 0, "a", "x");
     let mut callers: Vec<Caller> = (0..3).map(|proxy| site.caller(proxy, LATEST)).collect();
 
--- a/crates/e2e/tests/line_standin.rs
+++ b/crates/e2e/tests/line_standin.rs
@@ -16,7 +16,7 @@
 /// Longer than a replica takes to receive a commit.
 const REPLICATION_TIME: Duration = Duration::from_millis(120);
 
-async fn site(name: &str) -> Site {
+async fn start_site(name: &str) -> Site {
     let arguments = [
         "--promote-ms",
         "0",
@@ -43,7 +43,7 @@
 /// primary keeps its role for [`STEP_DOWN_DELAY`].
 #[tokio::test]
 async fn promotion_takes_effect_after_its_call() {
-    let site = site("effect").await;
+    let site = start_site("effect").await;
     let (mut first, mut second) = (site.server(0).await, site.server(1).await);
     assert!(first.query("PUT a one").is_done());
     assert_eq!(
@@ -70,7 +70,7 @@
 /// old primary again. Connections to its earlier incarnation are closed.
 #[tokio::test]
 async fn restarted_replica_keeps_its_log_and_loses_its_pause() {
-    let site = site("comes-back").await;
+    let site = start_site("comes-back").await;
     let (mut first, mut second) = (site.server(0).await, site.server(1).await);
     assert!(first.query("PUT a one").is_done());
     assert_eq!(parse_status(&second.query("PAUSE 2"))[3], "2");
@@ -92,7 +92,7 @@
 /// meanwhile.
 #[tokio::test]
 async fn restarted_primary_leads_unless_another_was_promoted() {
-    let site = site("primary-back").await;
+    let site = start_site("primary-back").await;
     assert!(site.server(0).await.query("PUT a one").is_done());
 
     site.fault(0, "crashed", true).await;
@@ -112,7 +112,7 @@
 /// Its pause ends all the same, so it receives from the old primary and acknowledges its commits.
 #[tokio::test]
 async fn replica_partitioned_from_the_new_primary_follows_the_old_one() {
-    let site = site("cut-from").await;
+    let site = start_site("cut-from").await;
     let mut servers = (site.server(0).await, site.server(2).await);
     site.partition_servers(1, 2, true).await;
     assert_eq!(parse_status(&servers.1.query("PAUSE 2"))[3], "2");
@@ -133,7 +133,7 @@
 /// A busy server rejects commands and statements without executing them and keeps the connection.
 #[tokio::test]
 async fn busy_server_does_not_execute_what_it_refuses() {
-    let site = site("busy").await;
+    let site = start_site("busy").await;
     let (mut first, mut second) = (site.server(0).await, site.server(1).await);
 
     site.fault(0, "busy", true).await;
@@ -157,7 +157,7 @@
 /// acknowledged commits.
 #[tokio::test]
 async fn promotions_are_recorded_with_their_logs() {
-    let site = site("noted").await;
+    let site = start_site("noted").await;
     let mut first = site.server(0).await;
     assert!(first.query("PUT a one").is_done());
     assert_eq!(parse_status(&site.server(1).await.query("PAUSE 2"))[3], "2");
@@ -175,7 +175,7 @@
 /// A server that loses its log between the promotion call and its effect is not promoted.
 #[tokio::test]
 async fn server_that_has_lost_its_log_is_not_promoted() {
-    let site = site("lost-log").await;
+    let site = start_site("lost-log").await;
     assert!(site.server(0).await.query("PUT a one").is_done());
 
     site.promote(1).await;
@@ -190,7 +190,7 @@
 /// requests.
 #[tokio::test]
 async fn promoted_server_is_overloaded_on_request() {
-    let site = site("crowded").await;
+    let site = start_site("crowded").await;
     let mut second = site.server(1).await;
     site.overload_next_primary(PROMOTION_DELAY * 2).await;
 
--- a/crates/e2e/tests/restores.rs
+++ b/crates/e2e/tests/restores.rs
@@ -15,7 +15,7 @@
 const THREE: &[&str] = &["dc-1", "dc-1", "dc-1"];
 
 /// Starts a site and waits until the KV has a snapshot of it.
-async fn site(name: &str) -> Site {
+async fn start_site(name: &str) -> Site {
     let site = Site::build(&Layout::new(name, THREE)).await;
     tokio::time::sleep(SNAPSHOT_AGE).await;
     site
@@ -47,7 +47,7 @@
 /// Proxies must not wait until the restored KV reaches their last revision again.
 #[tokio::test]
 async fn bundle_put_after_a_restore_is_applied() {
-    let site = site("kv-restore-bundle").await;
+    let site = start_site("kv-restore-bundle").await;
     for version in 2..=LOST_VERSIONS {
         let (put, text) = site.put_bundle(version);
         assert!(put, "{text}");
@@ -67,7 +67,7 @@
 /// primary must be replaceable although its claims refer to a revision that no longer exists.
 #[tokio::test]
 async fn promotion_lost_in_a_restore_is_recorded_again() {
-    let site = site("kv-restore-promotion").await;
+    let site = start_site("kv-restore-promotion").await;
     write(&site, 0, "order-1").await;
     site.fault(1, "kill", 0, "").await;
     let before = site.wait_for_new_primary(1).await;
--- a/crates/e2e/tests/trace.rs
+++ b/crates/e2e/tests/trace.rs
@@ -10,7 +10,7 @@
 
 use fixture::line::{Answer, Site, LATEST, URGENT};
 
-/// The connections that one proxy opens to a server with five slots.
+/// The connections that one proxy opens to each server of the site, which has five slots.
 const CONNECTIONS_PER_SERVER: usize = 15;
 
 /// Writes the log lines of proxy 0 to a file.
