--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -1,4 +1,4 @@
-//! The system replaces a failed primary by itself, and no promise to a caller is broken.
+//! The proxies replace a failed primary without losing or repeating an acknowledged write.
 
 mod fixture;
 #[path = "failover/kv.rs"]
@@ -13,34 +13,34 @@
     insert, operator_json, refusal, scalar, Layout, Site,
 };
 
-const WAIT: Duration = Duration::from_secs(20);
-/// Time in which writers write before and after a fault.
-const CALM: Duration = Duration::from_millis(300);
-/// Above the member's statement timeout in the bundle, so that a writer whose statement was
-/// under way when a cut began sends another one during the cut.
-const LONGER_THAN_TIMEOUT: Duration = Duration::from_millis(2500);
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// How long writers write before and after a fault.
+const OBSERVATION_PERIOD: Duration = Duration::from_millis(300);
+/// Longer than the statement timeout of the test's callers, so that a writer whose statement is in
+/// flight when a partition begins sends another one before the partition ends.
+const ABOVE_STATEMENT_TIMEOUT: Duration = Duration::from_millis(2500);
 const TWO_IN_ONE_DC: &[&str] = &["dc-1", "dc-1"];
 const TWO_DCS: &[&str] = &["dc-1", "dc-2"];
 
-/// A site with two proxies, and a member who has been writing through each for a while, as
-/// `w0` and `w1`.
-async fn site_with_writers(name: &str, dcs: &[&str]) -> (Site, Vec<Writer>) {
+/// Starts a site with two proxies and a writer through each, named `w0` and `w1`, which have been
+/// writing for [`OBSERVATION_PERIOD`] on return.
+async fn start_site_with_writers(name: &str, dcs: &[&str]) -> (Site, Vec<Writer>) {
     let site = Site::build(&Layout::new(name, dcs)).await;
     let start = |(index, proxy)| Writer::start(proxy, &format!("w{index}"));
     let writers = site.proxies.iter().enumerate().map(start).collect();
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     (site, writers)
 }
 
-/// The address of the primary as proxy `index` sees it.
-async fn primary(site: &Site, index: usize) -> Option<String> {
+/// The address of the primary according to proxy `index`.
+async fn primary_seen_by(site: &Site, index: usize) -> Option<String> {
     let report = operator_json(&site.proxies[index], "/status").await;
     report["groups"][0]["primary"].as_str().map(str::to_owned)
 }
 
-/// The servers that believe they lead, with their terms.
-async fn leaders(site: &Site, servers: &[usize]) -> Vec<(usize, u64)> {
-    let mut leaders = Vec::new();
+/// The servers that report the role of primary, with their terms.
+async fn reported_primaries(site: &Site, servers: &[usize]) -> Vec<(usize, u64)> {
+    let mut primaries = Vec::new();
     for &index in servers {
         let server = site.server(index).await;
         let messages = server
@@ -50,17 +50,17 @@
         for message in messages {
             if let tokio_postgres::SimpleQueryMessage::Row(row) = message {
                 if row.get("role") == Some("primary") {
-                    leaders.push((index, row.get("term").unwrap().parse().unwrap()));
+                    primaries.push((index, row.get("term").unwrap().parse().unwrap()));
                 }
             }
         }
     }
-    leaders
+    primaries
 }
 
-/// Waits until a proxy has claimed a term at which it has not promoted anyone yet.
-async fn claimed(site: &Site) -> bool {
-    eventually(WAIT, || async {
+/// Waits until a proxy has claimed a term and has not recorded its primary yet.
+async fn wait_for_claim(site: &Site) -> bool {
+    eventually(TIMEOUT, || async {
         let record = site.primary_record().await;
         record.is_some_and(|record| record.server.is_none())
     })
@@ -68,8 +68,8 @@
 }
 
 /// Waits until a write through proxy `index` is acknowledged.
-async fn writes_resume(site: &Site, index: usize, id: &str) {
-    let resumed = eventually(WAIT, || async {
+async fn wait_for_writes(site: &Site, index: usize, id: &str) {
+    let resumed = eventually(TIMEOUT, || async {
         let client = connect(&site.proxies[index], "member", "").await;
         client.simple_query(&insert(id)).await.is_ok()
     })
@@ -77,63 +77,67 @@
     assert!(resumed, "writes through proxy {index} resumed");
 }
 
-/// Stops the writers and checks all they were told against the log of the recorded primary.
-async fn settle(site: &Site, writers: Vec<Writer>, since: Instant) -> (Vec<Attempt>, Violations) {
+/// Stops the writers and checks the outcomes of their writes against the log of the recorded
+/// primary.
+async fn stop_and_check(
+    site: &Site,
+    writers: Vec<Writer>,
+    since: Instant,
+) -> (Vec<Attempt>, Violations) {
     let mut attempts = Vec::new();
     for writer in writers {
         attempts.extend(writer.stop().await);
     }
     let record = site.primary_record().await.expect("a record");
     let rows = site.primary_rows(&record).await;
-    let broken = history::check(&attempts, &rows, Some((record.term, since)));
-    (attempts, broken)
+    let violations = history::check(&attempts, &rows, Some((record.term, since)));
+    (attempts, violations)
 }
 
-/// Members write through two proxies when the primary dies. Both proxies miss it, one claims
-/// term 2 in the KV and promotes the replica that received the most; members wait through the
-/// gap. Each acknowledged write is on the new primary once, each "not run" one is not there.
+/// The primary is killed while two callers write through two proxies. One proxy claims term 2 and
+/// promotes a replica. Acknowledged writes are on the new primary exactly once, and writes answered
+/// with "not run" are not there.
 #[tokio::test]
 async fn primary_killed() {
-    let (site, writers) = site_with_writers("killed", TWO_IN_ONE_DC).await;
+    let (site, writers) = start_site_with_writers("killed", TWO_IN_ONE_DC).await;
 
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
-    let exists = Instant::now();
-    tokio::time::sleep(CALM).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
-
-    assert_eq!(broken, Violations::default());
-    history::assert_writes_resumed(&attempts, exists);
-    assert_eq!(record.term, 2, "one promotion was enough");
-    assert_eq!(leaders(&site, &[1, 2]).await.len(), 1);
+    let promoted_at = Instant::now();
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
+
+    assert_eq!(violations, Violations::default());
+    history::assert_writes_resumed(&attempts, promoted_at);
+    assert_eq!(record.term, 2, "one promotion is sufficient");
+    assert_eq!(reported_primaries(&site, &[1, 2]).await.len(), 1);
 }
 
-/// Replica 2 is cut off while members write, so only replica 1 received their orders. Then the
-/// primary dies, and replica 1 is the slower one to answer the claimant. The claimant must hear
-/// both before it promotes the one that has the orders; the other would lose them.
+/// Replica 2 is partitioned, so only replica 1 has the latest writes when the primary dies, and
+/// replica 1 answers the claimant later. The claimant must wait for both and promote replica 1, as
+/// the other choice loses acknowledged writes.
 #[tokio::test]
 async fn most_advanced_replica_is_promoted() {
     let site = Site::build(&Layout::new("advanced", TWO_IN_ONE_DC)).await;
     site.fault(1, "isolate", 2, "").await;
     site.fault(1, "slow_fence", 1, "300").await;
     let writers = vec![Writer::start(&site.proxies[0], "a")];
-    tokio::time::sleep(CALM).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
 
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
     site.fault(1, "join", 2, "").await;
-    let exists = Instant::now();
-    tokio::time::sleep(CALM).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
+    let promoted_at = Instant::now();
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
 
-    assert_eq!(broken, Violations::default());
-    history::assert_writes_resumed(&attempts, exists);
+    assert_eq!(violations, Violations::default());
+    history::assert_writes_resumed(&attempts, promoted_at);
     assert_eq!(record.server.unwrap().to_string(), site.servers()[1]);
 }
 
-/// A member's order is acknowledged, then the primary dies. The same session, and another that
-/// brings its token to the other proxy, read the order at once after the failover, from
-/// servers that carried on in a later term.
+/// A write is acknowledged and the primary dies. The same session, and a session on the other proxy
+/// with its token, read the write right after the failover.
 #[tokio::test]
 async fn read_your_writes_across_failover() {
     let mut layout = Layout::new("ryw", TWO_IN_ONE_DC);
@@ -156,42 +160,43 @@
     assert_eq!(scalar(&roamed, query).await.as_deref(), Some("order-1"));
 }
 
-/// Data centre 1 is cut off with the primary and one proxy; it still believes it leads. The
-/// proxy in data centre 2 promotes a replica. Members on the cut side get "outcome unknown" or
-/// "not run" but no acknowledgement; when the cut ends, their proxy follows the new primary.
+/// The primary is partitioned together with one proxy and still reports the role of primary when
+/// the other side has promoted a replica. Writes on its side must not be acknowledged. After the
+/// partition its proxy uses the new primary.
 #[tokio::test]
-async fn primary_cut_off_while_leading() {
-    let (site, writers) = site_with_writers("cut", TWO_DCS).await;
+async fn partitioned_primary_acknowledges_nothing() {
+    let (site, writers) = start_site_with_writers("cut", TWO_DCS).await;
 
     site.partition_dc("dc-1", 0, true).await;
-    let cut = Instant::now();
+    let partitioned_at = Instant::now();
     let record = site.wait_for_new_primary(1).await;
-    let exists = Instant::now();
-    tokio::time::sleep(LONGER_THAN_TIMEOUT).await;
-    let both = leaders(&site, &[0, 1, 2]).await;
-    let healed = Instant::now();
+    let promoted_at = Instant::now();
+    tokio::time::sleep(ABOVE_STATEMENT_TIMEOUT).await;
+    let primaries = reported_primaries(&site, &[0, 1, 2]).await;
+    let healed_at = Instant::now();
     site.partition_dc("dc-1", 0, false).await;
-    writes_resume(&site, 0, "after-heal").await;
-    tokio::time::sleep(CALM).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
+    wait_for_writes(&site, 0, "after-heal").await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
 
-    assert_eq!(broken, Violations::default());
+    assert_eq!(violations, Violations::default());
     assert_eq!(record.term, 2);
     assert!(
-        both.contains(&(0, 1)),
-        "the old primary still led: {both:?}"
+        primaries.contains(&(0, 1)),
+        "the old primary still reports its role: {primaries:?}"
     );
-    let on_cut_side = |a: &&Attempt| a.id.starts_with("w0") && a.sent > cut && a.sent < healed;
-    let acked = |a: &Attempt| a.outcome == Outcome::Acked && a.answered < healed;
-    assert!(attempts.iter().filter(on_cut_side).count() > 0);
-    assert!(!attempts.iter().filter(on_cut_side).any(acked));
+    let on_partitioned_side =
+        |a: &&Attempt| a.id.starts_with("w0") && a.sent > partitioned_at && a.sent < healed_at;
+    let acked = |a: &Attempt| a.outcome == Outcome::Acked && a.answered < healed_at;
+    assert!(attempts.iter().filter(on_partitioned_side).count() > 0);
+    assert!(!attempts.iter().filter(on_partitioned_side).any(acked));
 }
 
-/// The same cut; a member writes through data centre 2 after the failover and roams to the cut
-/// side, once with its token and once without. The old primary there lacks the write, and must
-/// not serve the member's read: an error is right, an empty answer is not.
+/// After the same partition and failover a caller writes, and reads through the proxy on the old
+/// primary's side, with its token and without. The old primary lacks the write, so the read must
+/// fail rather than return nothing.
 #[tokio::test]
-async fn roaming_to_the_cut_side_reads_nothing_stale() {
+async fn reads_on_the_partitioned_side_are_not_stale() {
     let site = Site::build(&Layout::new("roam-cut", TWO_DCS)).await;
     site.partition_dc("dc-1", 0, true).await;
     site.wait_for_new_primary(1).await;
@@ -213,91 +218,97 @@
     }
 }
 
-/// The proxy that claimed term 2 is paused (SIGSTOP) before it promotes anyone. The other one
-/// waits out its claim and promotes at term 3. When the first goes on, unaware, the servers
-/// refuse its promotion: the term never goes back, and there is one primary.
+/// The claimant of term 2 is paused (SIGSTOP) before it promotes a server. The other proxy waits
+/// until the claim has expired and promotes at term 3. When the first resumes, the servers must
+/// reject its promotion: the term does not decrease and there is one primary.
 #[tokio::test]
-async fn claimant_paused_and_unaware() {
+async fn resumed_claimant_cannot_promote() {
     let site = Site::build(&Layout::new("paused", TWO_IN_ONE_DC)).await;
     for server in [1, 2] {
         site.fault(0, "slow_fence", server, "600").await;
     }
 
     site.fault(1, "kill", 0, "").await;
-    let claimed = claimed(&site).await;
+    let claimed = wait_for_claim(&site).await;
     let claim = site.primary_record().await.expect("a claim");
     let paused = &site.proxies[claimant(&claim)];
     paused.process.set_paused(true);
     let record = site.wait_for_new_primary(2).await;
     paused.process.set_paused(false);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    writes_resume(&site, 0, "through-0").await;
-    writes_resume(&site, 1, "through-1").await;
+    wait_for_writes(&site, 0, "through-0").await;
+    wait_for_writes(&site, 1, "through-1").await;
 
     assert!(claimed);
     assert_eq!((claim.term, claim.server), (2, None));
     assert_eq!(record.term, 3);
     assert_eq!(site.primary_record().await, Some(record));
-    let leaders = leaders(&site, &[1, 2]).await;
-    assert!(matches!(leaders[..], [(_, 3)]), "{leaders:?}");
+    let primaries = reported_primaries(&site, &[1, 2]).await;
+    assert!(matches!(primaries[..], [(_, 3)]), "{primaries:?}");
 }
 
-/// The proxy's index in the name it claims under.
+/// The index of the proxy that made the claim.
 fn claimant(record: &Record) -> usize {
     let (_, index) = record.claimant.rsplit_once('-').unwrap();
     index.parse().unwrap()
 }
 
-/// The primary freezes: connections stay open and nothing answers. It is replaced; when it
-/// thaws it still believes it leads, and the writes it held are not acknowledged by it.
+/// The primary freezes, with its connections open, and is replaced. When it thaws it still takes
+/// itself for the primary, and must not acknowledge the writes that it had received.
 #[tokio::test]
 async fn primary_frozen_and_thawed() {
-    let (site, writers) = site_with_writers("frozen", TWO_IN_ONE_DC).await;
+    let (site, writers) = start_site_with_writers("frozen", TWO_IN_ONE_DC).await;
 
     site.fault(1, "freeze", 0, "").await;
     site.wait_for_new_primary(1).await;
-    let exists = Instant::now();
-    tokio::time::sleep(CALM).await;
+    let promoted_at = Instant::now();
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     site.fault(1, "thaw", 0, "").await;
-    let stepped_down = eventually(WAIT, || async { leaders(&site, &[0]).await.is_empty() }).await;
-    let (attempts, broken) = settle(&site, writers, exists).await;
+    let stepped_down = eventually(TIMEOUT, || async {
+        reported_primaries(&site, &[0]).await.is_empty()
+    })
+    .await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
 
     assert!(stepped_down);
-    assert_eq!(broken, Violations::default());
-    history::assert_writes_resumed(&attempts, exists);
+    assert_eq!(violations, Violations::default());
+    history::assert_writes_resumed(&attempts, promoted_at);
 }
 
-/// The primary answers the proxies but reaches no replica, so it can commit nothing. The
-/// replicas miss it, and it is replaced though every proxy can talk to it.
+/// The primary answers the proxies but reaches no replica, so it cannot commit. It must be replaced
+/// although all proxies reach it.
 #[tokio::test]
 async fn primary_without_replicas() {
     let site = Site::build(&Layout::new("alone", TWO_IN_ONE_DC)).await;
 
     site.fault(0, "isolate", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
-    writes_resume(&site, 0, "order-1").await;
+    wait_for_writes(&site, 0, "order-1").await;
 
     assert_ne!(record.server.unwrap().to_string(), site.servers()[0]);
     let expected = record.server.map(|server| server.to_string());
-    let followed = eventually(WAIT, || async { primary(&site, 1).await == expected }).await;
+    let followed = eventually(TIMEOUT, || async {
+        primary_seen_by(&site, 1).await == expected
+    })
+    .await;
     assert!(followed, "the other proxy follows");
 }
 
-/// A claimant made one replica hold term 5 and died. That replica takes nothing from the
-/// primary any more; the proxies see it outranks the primary and finish the change, after
-/// which all three servers are of one term again.
+/// A claimant has fenced one replica with term 5 and died. The replica accepts nothing from the
+/// primary any more. The proxies must notice that its term is higher and complete the failover, so
+/// that all servers are in one term again.
 #[tokio::test]
-async fn failover_stopped_halfway_is_finished() {
+async fn interrupted_failover_is_completed() {
     let site = Site::build(&Layout::new("halfway", TWO_IN_ONE_DC)).await;
 
     let server = site.server(2).await;
     server
         .simple_query("SELECT dandelionpitch_fence(5)")
         .await
-        .expect("the replica holds term 5");
+        .expect("the replica is fenced at term 5");
     let record = site.wait_for_new_primary(5).await;
-    writes_resume(&site, 0, "order-1").await;
-    let followed = eventually(WAIT, || async {
+    wait_for_writes(&site, 0, "order-1").await;
+    let followed = eventually(TIMEOUT, || async {
         scalar(&server, "SELECT * FROM ledger WHERE id = 'order-1'")
             .await
             .is_some()
@@ -308,30 +319,33 @@
     assert!(followed, "the fenced replica follows again");
 }
 
-/// A member's transaction is open when its primary dies. The member, who reads no errors, goes
-/// on and commits. Nothing of it may be kept: not the row before, and not the rows after, each
-/// of which would otherwise be a write of its own on the new primary.
+/// The primary dies during a transaction, and the caller continues and commits despite the errors.
+/// No row of the transaction may be stored, neither the one before the failure nor the later ones,
+/// which would otherwise be separate writes on the new primary.
 #[tokio::test]
-async fn open_transaction_dies_whole() {
+async fn open_transaction_is_rolled_back_entirely() {
     let site = Site::build(&Layout::new("tx", TWO_IN_ONE_DC)).await;
     let member = connect(&site.proxies[0], "member", "").await;
-    member.simple_query("BEGIN").await.expect("begins");
-    member.simple_query(&insert("tx-1")).await.expect("runs");
+    member.simple_query("BEGIN").await.expect("BEGIN succeeds");
+    member
+        .simple_query(&insert("tx-1"))
+        .await
+        .expect("the statement succeeds");
 
     site.fault(1, "kill", 0, "").await;
     let first = refusal(&member, &insert("tx-2")).await;
     let second = refusal(&member, &insert("tx-3")).await;
     let commit = member.simple_query("COMMIT").await;
     site.wait_for_new_primary(1).await;
-    member.simple_query(&insert("alone")).await.expect("runs");
+    member
+        .simple_query(&insert("alone"))
+        .await
+        .expect("the statement succeeds");
     let rows = history::read_log(&site.server(1).await).await;
 
     assert_eq!(first.as_deref(), Some("57P03"));
     assert_eq!(second.as_deref(), Some("25P02"));
-    assert!(
-        commit.is_ok(),
-        "the end of a failed transaction is accepted"
-    );
+    assert!(commit.is_ok(), "COMMIT of a failed transaction is accepted");
     let ids: Vec<&String> = rows.keys().collect();
     assert_eq!(ids, ["alone"]);
 }
--- a/crates/e2e/tests/handover.rs
+++ b/crates/e2e/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! Many proxies before servers that take few connections: most hand their callers' statements to the few
-//! that hold connections, as separate processes and under failure.
+//! Servers accept too few connections for all proxies. A few proxies own the connections, and the
+//! others forward their callers' statements to these.
 
 mod fixture;
 
@@ -7,26 +7,28 @@
 
 use fixture::line::{rows, Caller, Site, LATEST, SESSION};
 
-/// What the servers take: too few for seven proxies, so that one proxy holds all connections.
-const FEW: usize = 8;
+/// Too few connections for seven proxies, so that a single proxy owns them.
+const MAX_CONNECTIONS: usize = 8;
 
-/// How long callers may be without service when the proxy that holds the connections is lost: its
-/// entry lapses after 4 s, and another one that is asked before that serves at once.
-const OWNER_LOST: Duration = Duration::from_secs(2);
+/// Time limit for service to resume after the owner is lost. This is less than the 4 s after which
+/// the entry of the owner in the store expires, as another proxy serves statements that are
+/// forwarded to it before that.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A site of seven proxies of which one holds the connections; returns it and one that does not.
-async fn site(name: &str) -> (Site, usize, usize) {
-    let site = Site::start_with_max_connections(name, 7, FEW, &[]).await;
+/// Starts seven proxies of which one owns the connections; returns its index and that of another
+/// proxy.
+async fn start_site(name: &str) -> (Site, usize, usize) {
+    let site = Site::start_with_max_connections(name, 7, MAX_CONNECTIONS, &[]).await;
     let owner = site.wait_for_owners(1).await[0];
     let other = (owner + 1) % 7;
     (site, owner, other)
 }
 
-/// Callers of all seven proxies work at once. All are served, and no server is ever asked for more
-/// connections than it takes: with connections of their own the proxies would ask for 14 of 8.
+/// Callers of all seven proxies are served, and no server rejects a connection. Without forwarding
+/// the proxies would open 14 connections to servers that accept 8.
 #[tokio::test]
-async fn callers_of_every_proxy_are_served_within_the_connections() {
-    let (site, _, _) = site("within").await;
+async fn all_callers_are_served_within_the_connection_limit() {
+    let (site, _, _) = start_site("within").await;
     let mut callers: Vec<Caller> = (0..7).map(|proxy| site.caller(proxy, SESSION)).collect();
 
     for round in 0..20 {
@@ -37,15 +39,15 @@
         }
     }
 
-    let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
+    let rejected = site.group().await["turned_away"].clone();
+    assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
-/// Two sessions' statements go over the same connections between proxies. Neither may see the other's
-/// values, names or transaction.
+/// Statements of two sessions are forwarded over the same connections between proxies. Neither
+/// session may see the other's variables, prepared statements or transaction.
 #[tokio::test]
-async fn values_names_and_transactions_stay_with_their_session() {
-    let (site, _, other) = site("apart").await;
+async fn session_state_is_isolated_across_forwarding() {
+    let (site, _, other) = start_site("apart").await;
     let mut callers = [site.caller(other, LATEST), site.caller(other, LATEST)];
     for (index, caller) in callers.iter_mut().enumerate() {
         assert!(caller.query(&format!("SET owner {index}")).is_done());
@@ -65,10 +67,11 @@
     assert_eq!(plain.query("EXEC get a").code(), "NOSTMT");
 }
 
-/// A caller leaves in the middle of a transaction that another proxy runs for it: its writes are gone.
+/// A caller disconnects during a transaction that another proxy runs for it. The transaction must
+/// be rolled back.
 #[tokio::test]
-async fn caller_that_leaves_inside_a_transaction_keeps_nothing() {
-    let (site, _, other) = site("leaves-handed").await;
+async fn disconnect_in_a_forwarded_transaction_rolls_back() {
+    let (site, _, other) = start_site("leaves-handed").await;
     for _ in 0..20 {
         let mut caller = site.caller(other, LATEST);
         assert!(caller.query("BEGIN").is_done());
@@ -86,10 +89,10 @@
     assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
-/// Writes numbers until `until`; returns those that were acknowledged and those whose outcome is
-/// unknown. A refusal that says "not run" is repeated.
+/// Writes numbered values until `until`. Returns those acknowledged and those whose outcome is
+/// unknown. Skips values whose write was refused as not run.
 fn write_numbers(caller: &mut Caller, until: Instant) -> (Vec<String>, Vec<String>) {
-    let (mut kept, mut unknown) = (Vec::new(), Vec::new());
+    let (mut acknowledged, mut unknown) = (Vec::new(), Vec::new());
     for number in 0.. {
         if Instant::now() > until {
             break;
@@ -97,16 +100,16 @@
         let data = format!("n{number}");
         let answer = caller.query(&format!("PUT numbers {data}"));
         match answer.code() {
-            _ if answer.is_done() => kept.push(data),
+            _ if answer.is_done() => acknowledged.push(data),
             "UNKNOWN" => unknown.push(data),
             "BUSY" => std::thread::sleep(Duration::from_millis(20)),
             other => panic!("{other}: {answer:?}"),
         }
     }
-    (kept, unknown)
+    (acknowledged, unknown)
 }
 
-/// What is done to the proxy that holds the connections.
+/// How the owner of the connections is lost.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     Killed,
@@ -114,9 +117,9 @@
     Stopped,
 }
 
-/// The proxy that holds the connections is lost while callers of another one write. They are served
-/// again within two seconds, by a proxy that takes its place; what was acknowledged is there once,
-/// and what was refused as not run is not there at all.
+/// The owner of the connections is lost while callers of another proxy write. Another proxy takes
+/// its place within [`RECOVERY_TIMEOUT`]. Acknowledged writes are stored exactly once, and writes
+/// of unknown outcome at most once.
 #[yare::parameterized(
     killed = { Loss::Killed },
     frozen = { Loss::Frozen },
@@ -124,39 +127,43 @@
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
 async fn lost_owner_is_replaced_and_nothing_is_lost_or_doubled(loss: Loss) {
-    let (mut site, owner, other) = site(&format!("lost-{loss:?}")).await;
+    let (mut site, owner, other) = start_site(&format!("lost-{loss:?}")).await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT numbers before").is_done());
 
-    let begun = Instant::now();
+    let started_at = Instant::now();
     match loss {
         Loss::Killed => site.proxies[owner].process.kill(),
         Loss::Frozen => site.proxies[owner].process.set_paused(true),
         Loss::Stopped => site.proxies[owner].process.terminate(),
     }
-    let waited = caller.query_until_done("PUT numbers after", OWNER_LOST * 2);
-    let (kept, unknown) = write_numbers(&mut caller, begun + Duration::from_secs(6));
+    let waited = caller.query_until_done("PUT numbers after", RECOVERY_TIMEOUT * 2);
+    let (acknowledged, unknown) = write_numbers(&mut caller, started_at + Duration::from_secs(6));
     if matches!(loss, Loss::Frozen) {
         site.proxies[owner].process.set_paused(false);
     }
 
-    assert!(waited <= OWNER_LOST, "{waited:?}");
-    assert!(kept.len() > 20, "{} kept", kept.len());
-    for data in &kept {
+    assert!(waited <= RECOVERY_TIMEOUT, "{waited:?}");
+    assert!(
+        acknowledged.len() > 20,
+        "{} acknowledged",
+        acknowledged.len()
+    );
+    for data in &acknowledged {
         assert_eq!(site.count_in_log("numbers", data).await, 1, "{data}");
     }
     for data in &unknown {
         assert!(site.count_in_log("numbers", data).await <= 1, "{data}");
     }
-    let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
+    let rejected = site.group().await["turned_away"].clone();
+    assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
-/// A planned stop of the proxy that holds the connections: it goes on serving the others until they know,
-/// so a caller elsewhere notices nothing.
+/// The owner of the connections gets SIGTERM. It serves forwarded statements until the other
+/// proxies know, so that no statement is refused.
 #[tokio::test]
-async fn planned_stop_of_the_owner_cuts_nothing() {
-    let (site, owner, other) = site("planned").await;
+async fn graceful_shutdown_of_the_owner_refuses_nothing() {
+    let (site, owner, other) = start_site("planned").await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT a before").is_done());
 
@@ -176,10 +183,11 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// The store is away and the proxies' entries lapse. Those who knew each other go on as before.
+/// The store is down until the proxies' entries there have expired. The proxies must go on with the
+/// members that they know.
 #[tokio::test]
-async fn lapsed_entries_change_nothing_while_the_store_is_away() {
-    let (site, _, other) = site("lapsed").await;
+async fn expired_proxy_entries_are_ignored_while_the_store_is_down() {
+    let (site, _, other) = start_site("lapsed").await;
     let mut caller = site.caller(other, LATEST);
 
     site.store_fault("down", true).await;
@@ -187,18 +195,18 @@
     let during = caller.query("PUT a during");
     site.store_fault("down", false).await;
     let until = Instant::now() + Duration::from_secs(4);
-    let (kept, unknown) = write_numbers(&mut caller, until);
+    let (acknowledged, unknown) = write_numbers(&mut caller, until);
 
     assert!(during.is_done(), "{during:?}");
-    assert!(kept.len() > 20 && unknown.is_empty(), "{unknown:?}");
-    let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
+    assert!(acknowledged.len() > 20 && unknown.is_empty(), "{unknown:?}");
+    let rejected = site.group().await["turned_away"].clone();
+    assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
 
-/// A refused statement is found in the logs of both proxies under its id.
+/// A refused statement is in the logs of both proxies under its id.
 #[tokio::test]
-async fn refusal_is_explained_by_both_proxies() {
-    let (site, owner, other) = site("explained").await;
+async fn refusal_is_logged_by_both_proxies() {
+    let (site, owner, other) = start_site("explained").await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT a v").is_done());
     std::thread::sleep(Duration::from_millis(800));
@@ -218,11 +226,11 @@
     assert!(both.await);
 }
 
-/// All other proxies are lost, the owner and those that would take its place among them. The one that is
-/// left serves its callers on a connection of its own, at once and not when the entries have lapsed.
+/// All other proxies are killed, the owner among them. The remaining one must serve its callers on
+/// a connection of its own at once, and not only when the entries of the others have expired.
 #[tokio::test]
 async fn proxy_that_reaches_no_owner_serves_its_callers() {
-    let (mut site, _, other) = site("alone").await;
+    let (mut site, _, other) = start_site("alone").await;
     let mut caller = site.caller(other, LATEST);
     assert!(caller.query("PUT a before").is_done());
 
@@ -231,23 +239,24 @@
             proxy.process.kill();
         }
     }
-    let waited = caller.query_until_done("PUT a after", OWNER_LOST * 2);
+    let waited = caller.query_until_done("PUT a after", RECOVERY_TIMEOUT * 2);
 
-    assert!(waited <= OWNER_LOST, "{waited:?}");
+    assert!(waited <= RECOVERY_TIMEOUT, "{waited:?}");
     assert!(caller.query("BEGIN").is_done());
     assert!(caller.query("PUT a inside").is_done());
     assert!(caller.query("COMMIT").is_done());
 }
 
-/// Twelve proxies start together before servers that take eight connections. None takes itself for an owner
-/// before it knows the others: their first questions would be twelve connections to each server.
+/// Twelve proxies start together before servers that accept eight connections. No proxy may act as
+/// an owner before it knows the others, as twelve proxies with one connection each exceed the
+/// limit.
 #[tokio::test]
-async fn proxies_that_start_together_stay_within_the_connections() {
-    let site = Site::start_with_max_connections("together", 12, FEW, &[]).await;
+async fn proxies_started_together_respect_the_connection_limit() {
+    let site = Site::start_with_max_connections("together", 12, MAX_CONNECTIONS, &[]).await;
     site.wait_for_owners(1).await;
     let mut caller = site.caller(0, SESSION);
 
     assert!(caller.query("PUT a one").is_done());
-    let away = site.group().await["turned_away"].clone();
-    assert_eq!(away, 0, "{:#?}", site.log_lines_with("connect"));
+    let rejected = site.group().await["turned_away"].clone();
+    assert_eq!(rejected, 0, "{:#?}", site.log_lines_with("connect"));
 }
--- a/crates/e2e/tests/line.rs
+++ b/crates/e2e/tests/line.rs
@@ -1,5 +1,5 @@
-//! The whole path over the line protocol, as separate processes: callers, proxies, the stand-in
-//! platform.
+//! End-to-end tests of the line protocol, with the proxies and the stand-in platform as separate
+//! processes.
 
 mod fixture;
 
@@ -7,7 +7,7 @@
 
 use fixture::line::{rows, Caller, Site, LATEST, SESSION};
 
-/// Reads `item` until it is there, as replicas apply a little later.
+/// Reads `item` repeatedly until a replica answers.
 fn served_by_replica(caller: &mut Caller, item: &str) -> bool {
     (0..50).any(|_| {
         let answer = caller.query(&format!("FETCH {item}"));
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn statements_are_served_and_signed_by_the_server() {
+async fn answers_carry_the_signature_of_the_server() {
     let site = Site::start("served", 1).await;
     let mut caller = site.caller(0, LATEST);
 
@@ -33,7 +33,7 @@
     assert_eq!(fetch.state, "I");
 }
 
-/// A caller writes, and its next read on another proxy must show it, whatever replicas lag.
+/// A write through one proxy is visible in the next read through another, even if replicas lag.
 #[tokio::test]
 async fn write_is_seen_through_a_second_proxy() {
     let site = Site::start_with("roams", 2, &["--lag-ms", "400"]).await;
@@ -48,7 +48,7 @@
     }
 }
 
-/// A session reads its own write though every replica is half a second behind.
+/// A session reads its own write, even if all replicas lag.
 #[tokio::test]
 async fn session_sees_its_own_writes() {
     let site = Site::start_with("own", 1, &["--lag-ms", "400"]).await;
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn reads_with_an_allowance_run_on_replicas() {
+async fn reads_with_a_staleness_bound_run_on_replicas() {
     let site = Site::start("replicas", 1).await;
     let mut caller = site.caller(0, SESSION);
     assert!(caller.query("PUT a one").is_done());
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn transaction_keeps_all_or_nothing() {
+async fn transaction_is_atomic() {
     let site = Site::start("transaction", 1).await;
     let mut caller = site.caller(0, LATEST);
 
@@ -87,9 +87,9 @@
     assert_eq!(site.count_in_log("a", "dropped").await, 0);
 }
 
-/// Two sessions share the few connections; neither may see the other's values or names.
+/// Sessions that share connections must not see each other's variables or prepared statements.
 #[tokio::test]
-async fn values_and_names_stay_with_their_session() {
+async fn session_state_is_isolated() {
     let site = Site::start("names", 1).await;
     let mut callers = [site.caller(0, LATEST), site.caller(0, LATEST)];
     for (index, caller) in callers.iter_mut().enumerate() {
@@ -122,21 +122,21 @@
     assert_eq!(caller.next_line(), "");
 }
 
-/// A database is added and another dropped; open sessions follow with their next statement, and a
-/// version put late does not bring the old one back.
+/// Open sessions see added and dropped databases with their next statement, and an older version
+/// that is put later is not applied.
 #[tokio::test]
-async fn configuration_is_in_force_and_never_goes_back() {
+async fn configuration_is_applied_and_never_reverts() {
     let site = Site::start("config", 2).await;
     let mut dropped = site.caller(1, SESSION);
 
     site.configure(5, &[LATEST, "new-db"]).await;
     for proxy in 0..2 {
-        let in_force = fixture::eventually(Duration::from_secs(3), || async {
+        let is_applied = fixture::eventually(Duration::from_secs(3), || async {
             let mut caller = site.connect(proxy);
             caller.send("START new-db test");
             caller.next_line().starts_with("READY")
         });
-        assert!(in_force.await);
+        assert!(is_applied.await);
     }
     let gone = dropped.query("FETCH a");
     site.configure(4, &[SESSION]).await;
@@ -146,9 +146,9 @@
     assert!(site.caller(0, "new-db").query("FETCH a").is_done());
 }
 
-/// Bytes that are no message end their own session and nobody else's.
+/// Invalid messages end only the session that sent them.
 #[tokio::test]
-async fn bad_input_hurts_no_other_session() {
+async fn invalid_input_does_not_affect_other_sessions() {
     let site = Site::start("bad", 1).await;
     let mut other = site.caller(0, LATEST);
     let long = format!("QUERY id PUT a {}", "x".repeat(1 << 21));
@@ -158,16 +158,16 @@
         caller.send(bad);
         let _ = caller.next_line();
     }
-    let mut half = site.connect(0);
-    half.send("START");
-    drop(half);
-    let unclear = other.query("MAKE TEA");
+    let mut incomplete = site.connect(0);
+    incomplete.send("START");
+    drop(incomplete);
+    let invalid = other.query("MAKE TEA");
 
-    assert_eq!(unclear.code(), "SYNTAX");
+    assert_eq!(invalid.code(), "SYNTAX");
     assert!(other.query("PUT a one").is_done());
 }
 
-/// A message of the largest size passes in both directions.
+/// A message close to the size limit passes in both directions.
 #[tokio::test]
 async fn message_of_a_megabyte_is_served() {
     let site = Site::start("large", 1).await;
@@ -179,9 +179,9 @@
     assert_eq!(rows(&caller.query("FETCH a")), [data]);
 }
 
-/// Statements sent without waiting are answered in order, each with its own answer.
+/// Statements that are sent without waiting for answers are answered in order.
 #[tokio::test]
-async fn statements_sent_together_are_answered_in_order() {
+async fn pipelined_statements_are_answered_in_order() {
     let site = Site::start("together", 1).await;
     let mut caller = site.caller(0, LATEST);
     for round in 0..10 {
@@ -195,7 +195,6 @@
     }
 }
 
-/// Operators see counters as text.
 #[tokio::test]
 async fn metrics_are_served_as_text() {
     let site = Site::start("metrics", 1).await;
@@ -203,7 +202,7 @@
 
     let url = format!("http://{}/metrics", site.proxies[0].operator);
     let answer = reqwest::get(url).await.expect("the proxy answers");
-    let text = answer.text().await.expect("text");
+    let text = answer.text().await.expect("UTF-8 text");
 
     for expected in [
         "statements{outcome=\"ok\"} 1",
@@ -217,9 +216,9 @@
     }
 }
 
-/// The settings file names what is wrong with it.
+/// A setting that is out of range stops the proxy with a message that names the setting.
 #[test]
-fn bad_settings_are_refused_by_name() {
+fn invalid_setting_is_reported_by_name() {
     let path = std::env::temp_dir().join(format!("dp-line-bad-{}.toml", std::process::id()));
     let text =
         "id = \"p\"\ndc = \"d\"\nlisten = \"127.0.0.1:0\"\noperator_listen = \"127.0.0.1:0\"\n\
@@ -227,16 +226,16 @@
     std::fs::write(&path, text).expect("settings are written");
 
     let mut child = std::process::Command::new(fixture::bin("dandelionpitch"))
-        .args(["--config", path.to_str().expect("a text path")])
+        .args(["--config", path.to_str().expect("a UTF-8 path")])
         .stderr(std::process::Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    let status = child.wait().expect("it ends");
-    let mut said = String::new();
+    let status = child.wait().expect("the process exits");
+    let mut message = String::new();
     let mut stderr = child.stderr.take().expect("stderr is piped");
-    stderr.read_to_string(&mut said).expect("text");
+    stderr.read_to_string(&mut message).expect("UTF-8 text");
     let _ = std::fs::remove_file(&path);
 
     assert_eq!(status.code(), Some(2));
-    assert!(said.contains("line.grace"), "{said}");
+    assert!(message.contains("line.grace"), "{message}");
 }
--- a/crates/e2e/tests/line_failovers.rs
+++ b/crates/e2e/tests/line_failovers.rs
@@ -1,6 +1,5 @@
-//! Failovers that another trouble crosses: promotions take effect some time after their call, and what happens
-//! until then, or just after, must end in refusals and never in the loss of a commit that a caller was told
-//! is kept.
+//! Failovers with a second fault between the promotion call and the time at which it takes effect,
+//! or just after that. Statements may be refused, but no acknowledged commit may be lost.
 
 mod fixture;
 
@@ -8,12 +7,12 @@
 
 use fixture::line::{Site, FAILOVER_TIMEOUT, LATEST};
 
-/// For how long callers write: until the next promotion, if there is one, has taken effect.
-const WRITES_FOR: Duration = Duration::from_millis(2_500);
+/// How long callers write: until a second promotion, if there is one, has taken effect.
+const WRITE_PERIOD: Duration = Duration::from_millis(2_500);
 
-/// A site with one proxy, whose promotions take twice the usual time to take effect, and an old primary that
-/// goes on for a second.
-async fn site(name: &str) -> Site {
+/// Starts one proxy. Promotions take effect 600 ms after their call, and an old primary steps down
+/// 1 s after it learns of the new one.
+async fn start_site(name: &str) -> Site {
     let arguments = [
         "--promote-ms",
         "0",
@@ -28,15 +27,16 @@
     site
 }
 
-/// Waits for a line of the proxy's log.
-async fn logged(site: &Site, text: &str) {
+/// Waits for a line in the proxy's log that contains `text`.
+async fn wait_for_log(site: &Site, text: &str) {
     let seen = fixture::eventually(FAILOVER_TIMEOUT, || async { site.has_logged(0, text) });
     assert!(seen.await, "no {text} in the log");
 }
 
-/// Waits until a promotion has been called for; returns the server that will lead, and the other replica.
-async fn promoted(site: &Site) -> (usize, usize) {
-    logged(site, "\"kind\":\"promoted\"").await;
+/// Waits until a promotion has been requested. Returns the server to be promoted and the other
+/// replica.
+async fn wait_for_promotion(site: &Site) -> (usize, usize) {
+    wait_for_log(site, "\"kind\":\"promoted\"").await;
     match site.has_logged(
         0,
         "\"server\":\"i-1\",\"service\":\"ledger\",\"term\":2,\"took_ms\"",
@@ -46,91 +46,92 @@
     }
 }
 
-/// Writes all the time; returns the items that were acknowledged.
-fn write(site: &Site) -> Vec<String> {
-    let begun = Instant::now();
+/// Writes one item after the other for [`WRITE_PERIOD`]. Returns the acknowledged items.
+fn write_items(site: &Site) -> Vec<String> {
+    let started_at = Instant::now();
     let mut caller = site.caller(0, LATEST);
-    let mut kept = Vec::new();
+    let mut acknowledged = Vec::new();
     for round in 0.. {
-        if begun.elapsed() > WRITES_FOR {
+        if started_at.elapsed() > WRITE_PERIOD {
             break;
         }
         let item = format!("k{round}");
         if caller.query(&format!("PUT {item} v")).is_done() {
-            kept.push(item);
+            acknowledged.push(item);
         }
         std::thread::sleep(Duration::from_millis(2));
     }
-    kept
+    acknowledged
 }
 
-/// The acknowledged writes that are not in the log of the server that leads in the end.
-async fn lost(site: &Site, kept: Vec<String>) -> Vec<String> {
+/// The acknowledged items that are not in the log of the final primary.
+async fn lost_items(site: &Site, acknowledged: Vec<String>) -> Vec<String> {
     let mut caller = site.caller(0, LATEST);
     caller.query_until_done("PUT last v", FAILOVER_TIMEOUT * 2);
-    let mut lost = Vec::new();
-    for item in kept {
+    let mut lost_items = Vec::new();
+    for item in acknowledged {
         if site.count_in_log(&item, "v").await != 1 {
-            lost.push(item);
+            lost_items.push(item);
         }
     }
-    lost
+    lost_items
 }
 
-/// The primary leaves and another is promoted. From before that takes effect on, the new primary has no time for
-/// the promoter, which sees it as the held replica that it was. All others follow the new term: somebody
-/// leads it. Soon after, callers are served by the new primary; a third server that is promoted for the fourth
-/// lacks what they were told is kept.
+/// A draining primary is replaced, and the new primary rejects the failover leader's requests from
+/// before the promotion takes effect. The failover leader only has its old status, that of a paused
+/// replica. It must conclude from the other servers, which follow the new term, that some server
+/// leads. A third server, if promoted, would lack the commits that the new primary acknowledges.
 #[tokio::test]
-async fn new_primary_without_time_for_the_promoter_is_not_replaced_over() {
-    let site = site("no-time").await;
+async fn busy_new_primary_loses_no_acknowledged_commit() {
+    let site = start_site("no-time").await;
     site.fault(0, "leaving", true).await;
-    let (new, _) = promoted(&site).await;
+    let (new, _) = wait_for_promotion(&site).await;
     site.fault(new, "busy", true).await;
 
-    // The promoter looks again 1.2 s after its call, and judges for 300 ms.
-    let another = fixture::eventually(Duration::from_secs(2), || async {
+    // The next evaluation is 1.2 s after the promotion call and lasts 300 ms.
+    let next_attempt = fixture::eventually(Duration::from_secs(2), || async {
         site.log_lines_with("\"kind\":\"failover\"").len() > 1
     });
-    another.await;
+    next_attempt.await;
     site.fault(new, "busy", false).await;
-    let kept = write(&site);
+    let acknowledged = write_items(&site);
 
-    assert!(!kept.is_empty());
-    assert_eq!(lost(&site, kept).await, Vec::<String>::new());
+    assert!(!acknowledged.is_empty());
+    assert_eq!(lost_items(&site, acknowledged).await, Vec::<String>::new());
 }
 
-/// The primary crashes, the replicas are held, and one of them is called to be promoted. Before that takes
-/// effect the primary is back and still leads, and the other replica starts again: it has forgotten that it
-/// was held, receives from the primary and confirms commits that the server promoted does not have.
+/// The primary crashes and a replica is to be promoted. Before that takes effect the primary is
+/// back, and the other replica restarts without its pause. It receives from the old primary and
+/// confirms commits that the promoted server lacks. These must not be acknowledged.
 #[tokio::test]
-async fn replica_that_forgets_its_hold_confirms_nothing_before_the_promotion() {
-    let site = site("forgets").await;
+async fn replica_restarted_before_the_promotion_loses_no_acknowledged_commit() {
+    let site = start_site("forgets").await;
     site.fault(0, "crashed", true).await;
-    let (_, other) = promoted(&site).await;
+    let (_, other) = wait_for_promotion(&site).await;
 
     site.fault(0, "crashed", false).await;
     site.fault(other, "crashed", true).await;
     site.fault(other, "crashed", false).await;
-    let kept = write(&site);
+    let acknowledged = write_items(&site);
 
-    assert!(!kept.is_empty());
-    assert_eq!(lost(&site, kept).await, Vec::<String>::new());
+    assert!(!acknowledged.is_empty());
+    assert_eq!(lost_items(&site, acknowledged).await, Vec::<String>::new());
 }
 
-/// The primary crashes and comes back between the call for a promotion and its effect, so nobody has told it
-/// to step down, and takes commits that wait for a replica. The other replica does not reach the new primary: its hold ends with the promotion, and it
-/// receives from the old primary again and confirms its commits, which the new one does not have.
+/// The primary crashes and restarts before the promotion takes effect, so it has not been told to
+/// step down. The other replica does not reach the new primary. Its pause ends with the promotion,
+/// so it receives from the old primary and confirms commits that the new primary lacks. These must
+/// not be acknowledged.
 #[tokio::test]
-async fn old_primary_that_is_back_acknowledges_nothing_after_the_promotion() {
-    let site = site("back").await;
+async fn restarted_old_primary_loses_no_acknowledged_commit() {
+    let site = start_site("back").await;
     site.partition_servers(1, 2, true).await;
     site.fault(0, "crashed", true).await;
-    promoted(&site).await;
+    wait_for_promotion(&site).await;
 
     site.fault(0, "crashed", false).await;
-    let kept = write(&site);
+    let acknowledged = write_items(&site);
     site.partition_servers(1, 2, false).await;
 
-    assert_eq!(lost(&site, kept).await, Vec::<String>::new());
+    assert_eq!(lost_items(&site, acknowledged).await, Vec::<String>::new());
 }
--- a/crates/e2e/tests/line_restores.rs
+++ b/crates/e2e/tests/line_restores.rs
@@ -1,5 +1,5 @@
-//! The line protocol while the store comes back from a copy some seconds old, with its revisions given out
-//! again and without what was written since.
+//! The store is restored from a snapshot a few seconds old, which reuses revisions and loses later
+//! writes. Callers use the line protocol.
 
 mod fixture;
 
@@ -8,16 +8,16 @@
 use fixture::line::{rows, Caller, Site, FAILOVER_TIMEOUT, LATEST, SESSION};
 use serde_json::json;
 
-/// How many versions are put in the time that the store loses, so that its revisions go far back.
+/// The number of versions lost in a restore; many, so that the store's revision decreases far.
 const LOST_VERSIONS: u64 = 30;
 
-/// How old the copy is in these tests: from before the versions that are lost.
-const AGE: Duration = Duration::from_millis(2_500);
+/// The minimum age of the snapshot, so that it is older than the writes to be lost.
+const SNAPSHOT_AGE: Duration = Duration::from_millis(2_500);
 
-/// When every proxy has heard of a restore and its own entry is back.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Longer than proxies take to notice a restore and to write their own entries again.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Puts versions up to `last`, the last of which is in force everywhere.
+/// Puts the versions `first` to `last` and waits until all proxies have applied the last one.
 async fn configure_up_to(site: &Site, first: u64, last: u64) {
     for version in first..=last {
         site.configure(version, &[LATEST, SESSION]).await;
@@ -25,43 +25,48 @@
     site.wait_for_version(last).await;
 }
 
-/// A site on which the store has been left alone for so long that there is a copy of before.
-async fn site(name: &str, proxies: usize) -> Site {
+/// Starts a site and waits until the store has a snapshot of it.
+async fn start_site(name: &str, proxies: usize) -> Site {
     let site = Site::start(name, proxies).await;
-    tokio::time::sleep(AGE).await;
+    tokio::time::sleep(SNAPSHOT_AGE).await;
     site
 }
 
-/// Writes until it is acknowledged, with the same item and data each time.
+/// Repeats a write until it is acknowledged.
 fn write(site: &Site, proxy: usize, item: &str, data: &str) {
     let mut caller = site.caller(proxy, LATEST);
     caller.query_until_done(&format!("PUT {item} {data}"), FAILOVER_TIMEOUT * 2);
 }
 
-/// The fencing tokens of all calls for promotions, in their order.
-async fn tokens(site: &Site) -> Vec<u64> {
+/// The fencing tokens of all promotion calls, in order.
+async fn fencing_tokens(site: &Site) -> Vec<u64> {
     let tokens = site.group().await["tokens"].clone();
     serde_json::from_value(tokens).expect("numbers")
 }
 
-/// Whether the log of every server promoted after the first `earlier` ones has the item.
-async fn promoted_with(site: &Site, earlier: usize, item: &str) -> bool {
+/// Whether all servers promoted after the first `earlier` promotions had `item` in their logs.
+async fn later_primaries_have(site: &Site, earlier: usize, item: &str) -> bool {
     let promotions = site.promotions().await;
-    let mut later = promotions.as_array().expect("a list").iter().skip(earlier);
+    let mut later = promotions
+        .as_array()
+        .expect("an array")
+        .iter()
+        .skip(earlier);
     let has = |promotion: &serde_json::Value| {
-        let log = promotion["log"].as_array().expect("a log");
+        let log = promotion["log"].as_array().expect("an array");
         log.iter().any(|entry| entry[0] == json!(item))
     };
     later.all(has)
 }
 
-/// Guards against proxies that take no change of a store whose revisions are below those that they had.
+/// Proxies must apply changes of a restored store whose revisions are lower than those they have
+/// seen.
 #[tokio::test]
-async fn version_put_after_a_restore_is_in_force() {
-    let site = site("restore-version", 5).await;
+async fn version_put_after_a_restore_is_applied() {
+    let site = start_site("restore-version", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
-    site.restore_store(AGE).await;
+    site.restore_store(SNAPSHOT_AGE).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     site.configure(LOST_VERSIONS + 1, &[LATEST, SESSION]).await;
     site.wait_for_version(LOST_VERSIONS + 1).await;
@@ -73,15 +78,15 @@
     assert_eq!(eras, [1; 5]);
 }
 
-/// Guards against a proxy that puts the older configuration of the copy in force until the operators have
-/// written again.
+/// Proxies must not apply the older configuration of the snapshot before the operators have put
+/// theirs again.
 #[tokio::test]
-async fn version_of_the_copy_is_not_put_in_force() {
-    let site = site("restore-older", 2).await;
+async fn older_version_in_the_snapshot_is_not_applied() {
+    let site = start_site("restore-older", 2).await;
     configure_up_to(&site, 2, 3).await;
 
-    site.restore_store(AGE).await;
-    let until = Instant::now() + SETTLED;
+    site.restore_store(SNAPSHOT_AGE).await;
+    let until = Instant::now() + SETTLE_TIME;
     let mut lowest = u64::MAX;
     while Instant::now() < until {
         for proxy in 0..2 {
@@ -93,15 +98,15 @@
     assert_eq!(lowest, 3);
 }
 
-/// A server starts to leave after the restore. Guards against a follower that is told only of what has a
-/// higher revision than it had reached in the store's earlier life.
+/// A server starts to drain after a restore. Followers must see this although its revision is lower
+/// than those that they have seen before the restore.
 #[tokio::test]
-async fn server_that_leaves_after_a_restore_is_noticed() {
-    let site = site("restore-leaving", 5).await;
+async fn server_draining_after_a_restore_is_noticed() {
+    let site = start_site("restore-leaving", 5).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
 
-    site.restore_store(AGE).await;
-    tokio::time::sleep(SETTLED).await;
+    site.restore_store(SNAPSHOT_AGE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     site.fault(2, "leaving", true).await;
     let noticed = fixture::eventually(Duration::from_secs(3), || async {
         (0..5).all(|proxy| site.has_logged(proxy, "\"leaving\":true"))
@@ -111,48 +116,51 @@
     assert!(noticed);
 }
 
-/// A primary is replaced, the store forgets that, and the next one dies. Guards against a commit lost by a
-/// record, a list of servers or a holder of the duty from before the promotion.
+/// A restore loses a promotion, and the next primary crashes. No commit may be lost because of an
+/// outdated record, server list or failover leader in the snapshot.
 #[tokio::test]
-async fn promotion_that_the_store_forgot_loses_nothing() {
-    let site = site("restore-promotion", 3).await;
+async fn promotion_lost_in_a_restore_loses_no_commit() {
+    let site = start_site("restore-promotion", 3).await;
     write(&site, 0, "a", "first");
     site.fault(0, "dead", true).await;
     write(&site, 0, "b", "second");
     let promoted = site.promotions().await.as_array().map_or(0, Vec::len);
 
-    site.restore_store(AGE * 2).await;
+    site.restore_store(SNAPSHOT_AGE * 2).await;
     write(&site, 1, "c", "third");
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     site.fault(0, "dead", false).await;
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let leader = site.group().await["leader"].as_u64().expect("a leader");
     site.fault(leader as usize, "crashed", true).await;
     write(&site, 2, "d", "fourth");
-    let tokens = tokens(&site).await;
+    let tokens = fencing_tokens(&site).await;
 
     assert!(promoted > 0);
     for item in ["a", "b", "c"] {
-        assert!(promoted_with(&site, promoted, item).await, "{item} is lost");
+        assert!(
+            later_primaries_have(&site, promoted, item).await,
+            "{item} is lost"
+        );
     }
     assert!(tokens.len() >= 2, "{tokens:?}");
     assert!(tokens.is_sorted(), "{tokens:?}");
 }
 
-/// All proxies are killed as the store comes back, so nobody remembers the tokens of before. Guards against
-/// a holder with a lower token than an earlier one had.
+/// All proxies restart during a restore, so that none remembers the earlier fencing tokens. A new
+/// failover leader must not get a lower token than an earlier one.
 #[tokio::test]
-async fn tokens_rise_though_all_proxies_start_again() {
-    let mut site = site("restore-tokens", 3).await;
+async fn fencing_tokens_rise_across_a_restore_and_restarts() {
+    let mut site = start_site("restore-tokens", 3).await;
     configure_up_to(&site, 2, LOST_VERSIONS).await;
-    // Taken anew, so that the token is one of the revisions that are lost.
-    let holder = site.failover_leader().await;
-    site.kill_proxy(holder);
-    tokio::time::sleep(SETTLED).await;
+    // A new election, so that the fencing token is one of the revisions to be lost.
+    let failover_leader = site.failover_leader().await;
+    site.kill_proxy(failover_leader);
+    tokio::time::sleep(SETTLE_TIME).await;
     site.fault(0, "dead", true).await;
-    write(&site, (holder + 1) % 3, "a", "first");
+    write(&site, (failover_leader + 1) % 3, "a", "first");
     site.fault(0, "dead", false).await;
-    let before = tokens(&site).await;
+    let before = fencing_tokens(&site).await;
 
     (0..3).for_each(|proxy| site.kill_proxy(proxy));
     site.restore_store(Duration::from_secs(60)).await;
@@ -163,7 +171,7 @@
     let leader = site.group().await["leader"].as_u64().expect("a leader");
     site.fault(leader as usize, "dead", true).await;
     write(&site, 1, "c", "third");
-    let after = tokens(&site).await;
+    let after = fencing_tokens(&site).await;
 
     assert!(
         !before.is_empty() && after.len() > before.len(),
@@ -177,29 +185,29 @@
     );
 }
 
-/// Guards against callers who notice a restore without any other fault.
+/// A restore without any other fault must not cause errors or wrong reads.
 #[tokio::test]
-async fn callers_do_not_notice_a_restore() {
-    let site = site("restore-calm", 3).await;
+async fn restore_causes_no_errors() {
+    let site = start_site("restore-calm", 3).await;
     write(&site, 0, "a", "x");
     let mut callers: Vec<Caller> = (0..3).map(|proxy| site.caller(proxy, LATEST)).collect();
 
     let mut refused = Vec::new();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut restored = 0;
-    while begun.elapsed() < Duration::from_secs(9) {
-        if begun.elapsed() > Duration::from_secs(2 + 3 * restored) && restored < 2 {
-            site.restore_store(AGE).await;
+    while started_at.elapsed() < Duration::from_secs(9) {
+        if started_at.elapsed() > Duration::from_secs(2 + 3 * restored) && restored < 2 {
+            site.restore_store(SNAPSHOT_AGE).await;
             restored += 1;
         }
         for (proxy, caller) in callers.iter_mut().enumerate() {
             let answer = caller.query("FETCH a");
             if rows(&answer) != ["x"] {
-                refused.push(format!("{proxy} at {:?}: {answer:?}", begun.elapsed()));
+                refused.push(format!("{proxy} at {:?}: {answer:?}", started_at.elapsed()));
             }
             let answer = caller.query(&format!("PUT k{proxy} y"));
             if !answer.is_done() {
-                refused.push(format!("{proxy} at {:?}: {answer:?}", begun.elapsed()));
+                refused.push(format!("{proxy} at {:?}: {answer:?}", started_at.elapsed()));
             }
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/e2e/tests/thin_path.rs
+++ b/crates/e2e/tests/smoke.rs
@@ -1,4 +1,5 @@
-//! The thin path end to end: KV, group, two proxies and the CLI, each its own process.
+//! Basic operation end to end, with the KV, the group, two proxies and the CLI as separate
+//! processes.
 
 mod fixture;
 
@@ -6,10 +7,10 @@
 
 use fixture::{connect, eventually, operator_json, scalar, Site};
 
-const WAIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A write through proxy 0; the session moves to proxy 1 with its token and reads the row at
-/// once. The replicas lag 300 ms, so a read that ignored the token would miss it.
+/// A session moves to another proxy with its token and reads its write at once. The replicas lag,
+/// so a read that ignored the token would miss the write.
 #[tokio::test]
 async fn read_your_writes_after_roaming() {
     let site = Site::start("roam", 2, 300).await;
@@ -29,8 +30,8 @@
     assert_eq!(seen.as_deref(), Some("order-1"), "token {token}");
 }
 
-/// With no token, a new session still sees writes acknowledged before it connected: the
-/// proxy takes the primary's position as a barrier before the first read.
+/// A new session without a token sees all writes acknowledged before it connected, as the proxy
+/// asks the primary for its position before the first read.
 #[tokio::test]
 async fn read_your_writes_without_token() {
     let site = Site::start("barrier", 2, 300).await;
@@ -46,14 +47,14 @@
     assert_eq!(seen.as_deref(), Some("order-2"));
 }
 
-/// A caller that allows 5 s of staleness is served by a replica, seen in the answer (which
-/// server ran it) and in the proxy's metrics.
+/// A caller that accepts 5 s of staleness is served by a replica, according to the answer and to
+/// the proxy's metrics.
 #[tokio::test]
 async fn stale_tolerant_read_goes_to_replica() {
     let site = Site::start("replica", 1, 20).await;
     let client = connect(&site.proxies[0], "lookup", "").await;
 
-    let served_by_replica = eventually(WAIT, || async {
+    let served_by_replica = eventually(TIMEOUT, || async {
         scalar(&client, "SHOW dandelionpitch.server")
             .await
             .is_some_and(|s| s != "0")
@@ -70,13 +71,13 @@
     assert!(replica_reads, "{metrics}");
 }
 
-/// A bundle put by the CLI is in force on both proxies; an older version is refused.
+/// A bundle put with the CLI is applied by both proxies, and an older version is refused.
 #[tokio::test]
-async fn bundle_in_force_everywhere_and_never_reverts() {
+async fn bundle_is_applied_everywhere_and_never_reverts() {
     let site = Site::start("bundle", 2, 20).await;
 
     let (put, text) = site.put_bundle(2);
-    let everywhere = eventually(WAIT, || async {
+    let everywhere = eventually(TIMEOUT, || async {
         let mut all = true;
         for proxy in &site.proxies {
             all &= operator_json(proxy, "/status").await["bundle_version"] == 2;
@@ -92,19 +93,21 @@
     assert!(refusal.contains("never revert"), "{refusal}");
 }
 
-/// A lookup session is open and is served by a replica. A new bundle allows lookups no
-/// staleness, and the next one knows no lookups any more. Both hold for the open session, not
-/// only for callers that connect later.
+/// A new bundle that forbids stale reads, and one that removes the user, apply to an open session
+/// and not only to later ones.
 #[tokio::test]
-async fn bundle_holds_for_open_sessions() {
+async fn bundle_applies_to_open_sessions() {
     let site = Site::start("open-session", 1, 20).await;
     let lookup = connect(&site.proxies[0], "lookup", "").await;
     let server = || scalar(&lookup, "SHOW dandelionpitch.server");
-    let on_replica = eventually(WAIT, || async { server().await.is_some_and(|s| s != "0") }).await;
+    let on_replica = eventually(TIMEOUT, || async {
+        server().await.is_some_and(|s| s != "0")
+    })
+    .await;
 
     let strict = |text: String| text.replace("\"5s\"", "\"0s\"");
     assert!(site.put_bundle_with(2, strict).0);
-    let in_force = eventually(WAIT, || async {
+    let is_applied = eventually(TIMEOUT, || async {
         operator_json(&site.proxies[0], "/status").await["bundle_version"] == 2
     })
     .await;
@@ -114,13 +117,13 @@
     }
     let unknown = |text: String| text.replace("\"lookup\"", "\"someone\"");
     assert!(site.put_bundle_with(3, unknown).0);
-    let refused = eventually(WAIT, || async {
+    let refused = eventually(TIMEOUT, || async {
         let code = fixture::refusal(&lookup, "SELECT 1").await;
         code.as_deref() == Some("28000")
     })
     .await;
 
-    assert!(on_replica && in_force);
+    assert!(on_replica && is_applied);
     assert!(after.iter().all(|server| server == "0"), "{after:?}");
-    assert!(refused, "an unknown caller's session goes on");
+    assert!(refused, "the session of an unknown caller continues");
 }
--- a/crates/e2e/tests/explain.rs
+++ b/crates/e2e/tests/trace.rs
@@ -1,5 +1,5 @@
-//! A caller complains about one request: its id and the proxies' log lines must be enough to find
-//! the cause (`docs/OPERATIONS.md`).
+//! `dpctl trace` explains a request from its id and the log lines of the proxies
+//! (`docs/OPERATIONS.md`).
 
 mod fixture;
 
@@ -10,36 +10,39 @@
 
 use fixture::line::{Answer, Site, LATEST, URGENT};
 
-/// As many as one proxy opens to a server of five slots.
-const CONNECTIONS: usize = 15;
+/// The connections that one proxy opens to each server of the site, which has five slots.
+const CONNECTIONS_PER_SERVER: usize = 15;
 
-/// Writes what a proxy has logged so far into a file, as operators collect it.
-fn collect(site: &Site, name: &str) -> PathBuf {
+/// Writes the log lines of proxy 0 to a file.
+fn write_log_file(site: &Site, name: &str) -> PathBuf {
     std::thread::sleep(Duration::from_millis(300));
     let path = std::env::temp_dir().join(format!("dp-log-{name}-{}", std::process::id()));
     let lines = site.proxies[0]
         .process
         .log
         .lock()
-        .expect("no writer panics");
-    std::fs::write(&path, lines.join("\n")).expect("the log is written");
+        .expect("log lock is not poisoned");
+    std::fs::write(&path, lines.join("\n")).expect("the log file is written");
     path
 }
 
 fn trace(id: &str, log: &Path) -> String {
-    let (found, text) = fixture::dpctl(&["trace", id, log.to_str().expect("a text path")]);
+    let (found, text) = fixture::dpctl(&["trace", id, log.to_str().expect("a UTF-8 path")]);
     assert!(found, "{text}");
     text
 }
 
-/// More callers write than connections serve in time. One is refused at once; its line says that
-/// work was waiting, and when to come back. Of many at once only some get a line of their own.
+/// Open transactions hold all connections while many more callers write. The log line of a refused
+/// statement states the reason and the retry delay. Log lines of refusals are rate-limited, so the
+/// test looks for a refusal that has one.
 #[tokio::test]
-async fn refused_under_load() {
+async fn refusal_under_load() {
     let site = Site::start("explain-load", 1).await;
     site.configure(2, &[LATEST, URGENT]).await;
     site.wait_for_version(2).await;
-    let mut holders: Vec<_> = (0..CONNECTIONS).map(|_| site.caller(0, LATEST)).collect();
+    let mut holders: Vec<_> = (0..CONNECTIONS_PER_SERVER)
+        .map(|_| site.caller(0, LATEST))
+        .collect();
     for holder in &mut holders {
         assert!(holder.query("BEGIN").is_done());
         assert!(holder.query("PUT a v").is_done());
@@ -53,14 +56,14 @@
         .iter_mut()
         .map(|caller| caller.read_answer())
         .collect();
-    let log = collect(&site, "load");
-    let lines = std::fs::read_to_string(&log).expect("the log is there");
-    let explained = |index: &usize| {
+    let log = write_log_file(&site, "load");
+    let lines = std::fs::read_to_string(&log).expect("the log file is readable");
+    let is_logged_refusal = |index: &usize| {
         answers[*index].code() == "BUSY" && lines.contains(&format!("\"load{index}\""))
     };
-    let refused = (0..answers.len()).find(explained);
+    let refused = (0..answers.len()).find(is_logged_refusal);
     let text = trace(
-        &format!("load{}", refused.expect("a refusal with a line")),
+        &format!("load{}", refused.expect("a refusal with a log line")),
         &log,
     );
 
@@ -68,8 +71,8 @@
     assert!(text.contains("come back in"), "{text}");
 }
 
-/// The primary stops being heard by its replicas, and a write there gets no answer: its outcome is
-/// unknown. The lines name the server, and the failover that followed.
+/// The primary is partitioned from its replicas, so a write there gets no answer and its outcome is
+/// unknown. The trace names the server, and the log has the failover that followed.
 #[tokio::test]
 async fn outcome_unknown_in_a_failover() {
     let site = Site::start("explain-unknown", 1).await;
@@ -80,7 +83,7 @@
     caller.send("QUERY doubtful PUT b v");
     let answer = caller.read_answer();
     caller.query_until_done("PUT c v", Duration::from_secs(10));
-    let log = collect(&site, "unknown");
+    let log = write_log_file(&site, "unknown");
     let text = trace("doubtful", &log);
 
     assert_eq!(answer.code(), "UNKNOWN");
@@ -89,19 +92,19 @@
     let (_, json) = fixture::dpctl(&[
         "trace",
         "doubtful",
-        log.to_str().expect("a text path"),
+        log.to_str().expect("a UTF-8 path"),
         "--output",
         "json",
     ]);
     assert!(json.lines().all(|line| line.starts_with('{')), "{json}");
-    let all = std::fs::read_to_string(&log).expect("the log is there");
+    let all = std::fs::read_to_string(&log).expect("the log file is readable");
     assert!(all.contains("\"kind\":\"promoted\""), "{all}");
 }
 
-/// Nothing proves any more that the primary leads: a read that must see every commit is refused, and
-/// its line says so.
+/// The proxy can no longer confirm that the primary still leads. A linearizable read is refused,
+/// and its log line says why.
 #[tokio::test]
-async fn unproved_read_is_refused() {
+async fn read_without_a_confirmed_primary_is_refused() {
     let site = Site::start("explain-read", 1).await;
     let mut caller = site.caller(0, LATEST);
     assert!(caller.query("FETCH a").is_done());
@@ -112,20 +115,20 @@
     }
     caller.send("QUERY unproved FETCH a");
     let answer = caller.read_answer();
-    let log = collect(&site, "read");
+    let log = write_log_file(&site, "read");
     let text = trace("unproved", &log);
 
     assert_eq!(answer.code(), "BUSY");
     assert!(text.contains("not proved to lead"), "{text}");
 }
 
-/// An id that no log has is said to be unknown.
+/// Tracing an id that is in no log is an error.
 #[tokio::test]
 async fn unknown_id_is_an_error() {
     let site = Site::start("explain-none", 1).await;
-    let log = collect(&site, "none");
+    let log = write_log_file(&site, "none");
 
-    let (found, text) = fixture::dpctl(&["trace", "nobody", log.to_str().expect("a text path")]);
+    let (found, text) = fixture::dpctl(&["trace", "nobody", log.to_str().expect("a UTF-8 path")]);
 
     assert!(!found);
     assert!(text.contains("no line about request nobody"), "{text}");
