--- a/crates/engine/tests/interleavings/attempt.rs
+++ b/crates/engine/tests/interleavings/attempt.rs
@@ -15,10 +15,10 @@
 
 use super::{
     cluster::{moment, steps, Cluster},
-    follower::{index, Follower, Noted},
-    mail::{Answer, Asker, Said},
+    message::{Answer, Asker, Said},
     scenario::STEP,
     server::Order,
+    view::{index, Follower, Noted},
 };
 
 const ORDER_TIMEOUT: u64 = 500 / STEP;
--- a/crates/engine/tests/interleavings/attempt/promotion.rs
+++ b/crates/engine/tests/interleavings/attempt/promotion.rs
@@ -4,10 +4,10 @@
 
 use super::{
     super::{
-        follower::index,
-        mail::{Mail, Record},
+        message::{Mail, Record},
         scenario::STEP,
         server::Order,
+        view::index,
     },
     Attempt, Desk, Ended, Stage,
 };
--- a/crates/engine/tests/interleavings/cluster.rs
+++ b/crates/engine/tests/interleavings/cluster.rs
@@ -9,7 +9,7 @@
 use dandelionpitch_engine::{commit::Snapshot, registry::Role, time::Moment};
 
 use super::{
-    mail::{Answer, Asker, Mail, Record, Said, Store},
+    message::{Answer, Asker, Mail, Record, Said, Store},
     scenario::{proxy_node, Fault, Node, Scenario, Trouble, NODES, SERVERS, STEP, STORE},
     server::{Entry, Order, Server},
 };
--- a/crates/engine/tests/interleavings/cluster/reads.rs
+++ b/crates/engine/tests/interleavings/cluster/reads.rs
@@ -3,7 +3,7 @@
 use dandelionpitch_core::position::Position;
 
 use super::{
-    super::{mail::Mail, scenario::proxy_node, server::Entry},
+    super::{message::Mail, scenario::proxy_node, server::Entry},
     Cluster,
 };
 
--- a/crates/engine/tests/interleavings/cluster/servers.rs
+++ b/crates/engine/tests/interleavings/cluster/servers.rs
@@ -4,7 +4,7 @@
 
 use super::{
     super::{
-        mail::Mail,
+        message::Mail,
         scenario::{Fault, Node, NODES, STEP, STORE},
         server::{Entry, Server},
     },
--- a/crates/engine/tests/interleavings/promoter.rs
+++ b/crates/engine/tests/interleavings/coordinator.rs
@@ -1,6 +1,6 @@
 //! A process that may hold the failover duty: it watches the servers, judges and starts attempts.
 
-mod watched;
+mod group;
 
 use dandelionpitch_core::hash::Map;
 use dandelionpitch_engine::{
@@ -13,11 +13,11 @@
 use super::{
     attempt::{same_life, Attempt, Desk, Ended},
     cluster::{moment, steps, Cluster},
-    follower::Follower,
-    mail::{Answer, Asker, Mail, Said},
+    message::{Answer, Asker, Mail, Said},
     scenario::{promoter_node, STEP, STORE},
+    view::Follower,
 };
-use watched::Watched;
+use group::Watched;
 
 const TICK: u64 = 100 / STEP;
 const SETTLE: u64 = 1_200 / STEP;
--- a/crates/engine/tests/interleavings/promoter/watched.rs
+++ b/crates/engine/tests/interleavings/coordinator/group.rs
@@ -10,10 +10,10 @@
 
 use super::super::{
     cluster::{moment, steps, Cluster},
-    follower::{index, Follower, Noted},
-    mail::{Asker, Mail, Record},
+    message::{Asker, Mail, Record},
     scenario::STEP,
     server::Order,
+    view::{index, Follower, Noted},
 };
 
 const ASK_REPLICAS_EVERY: u64 = 500 / STEP;
--- a/crates/engine/tests/interleavings/main.rs
+++ b/crates/engine/tests/interleavings/main.rs
@@ -3,20 +3,20 @@
 
 mod attempt;
 mod cluster;
-mod follower;
-mod mail;
-mod promoter;
+mod coordinator;
+mod message;
 mod proxy;
 mod scenario;
 mod server;
+mod view;
 
 use std::cell::Cell;
 
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestError, TestRng, TestRunner};
 
 use cluster::Cluster;
-use mail::Mail;
-use promoter::Promoter;
+use coordinator::Promoter;
+use message::Mail;
 use proxy::Proxy;
 use scenario::{Scenario, LENGTH, PROMOTERS, PROXIES, SERVERS};
 
--- a/crates/engine/tests/interleavings/proxy.rs
+++ b/crates/engine/tests/interleavings/proxy.rs
@@ -1,7 +1,7 @@
 //! A proxy: it commits at the primary it believes in, and tells its caller that a commit is kept only when
 //! that is proved, in the order of the daemon's.
 
-mod proof;
+mod durability;
 mod reads;
 
 use dandelionpitch_core::hash::Map;
@@ -15,12 +15,12 @@
 
 use super::{
     cluster::{moment, Cluster},
-    follower::{index, Follower},
-    mail::{Answer, Asker, Mail, Said},
+    message::{Answer, Asker, Mail, Said},
     scenario::{proxy_node, STEP},
     server::Order,
+    view::{index, Follower},
 };
-use proof::Pending;
+use durability::Pending;
 use reads::Reads;
 
 /// How many replicas a commit waits for.
--- a/crates/engine/tests/interleavings/proxy/proof.rs
+++ b/crates/engine/tests/interleavings/proxy/durability.rs
@@ -9,10 +9,10 @@
 use super::{
     super::{
         cluster::{moment, Cluster},
-        follower::index,
-        mail::{Asker, Mail, Said},
+        message::{Asker, Mail, Said},
         scenario::STEP,
         server::Entry,
+        view::index,
     },
     Proxy, Round, FIRST_ANSWER, LATE_ANSWER, SYNC_REPLICAS,
 };
--- a/crates/engine/tests/interleavings/proxy/reads.rs
+++ b/crates/engine/tests/interleavings/proxy/reads.rs
@@ -5,9 +5,9 @@
 use super::{
     super::{
         cluster::{moment, Cluster},
-        follower::index,
-        mail::Mail,
+        message::Mail,
         server::Entry,
+        view::index,
     },
     Proxy,
 };
--- a/crates/engine/tests/interleavings/follower.rs
+++ b/crates/engine/tests/interleavings/view.rs
@@ -10,7 +10,7 @@
 
 use super::{
     cluster::{moment, steps, Cluster},
-    mail::{Record, Store},
+    message::{Record, Store},
     scenario::{Node, STORE},
 };
 
