--- a/crates/engine/tests/interleavings/attempt.rs
+++ b/crates/engine/tests/interleavings/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt to replace a primary, in the order of the daemon's: hold, choose, wait, write down, ask
-//! again, call.
+//! One failover attempt, with the same steps in the same order as in the proxy: hold the replicas,
+//! choose a server, wait, record the promotion, recheck the members, request the promotion.
 
 mod promotion;
 
@@ -15,160 +15,168 @@
 
 use super::{
     cluster::{moment, steps, Cluster},
-    message::{Answer, Asker, Said},
-    scenario::STEP,
-    server::Order,
-    view::{index, Follower, Noted},
+    message::{Answer, Body, Origin},
+    scenario::STEP_MS,
+    server::Command,
+    view::{server_index, StoredRecord, View},
 };
 
-const ORDER_TIMEOUT: u64 = 500 / STEP;
+/// How long members may take to carry out the first commands of an attempt.
+const COMMAND_TIMEOUT_STEPS: u64 = 500 / STEP_MS;
 
 /// How an attempt ended.
-pub enum Ended {
-    Called { server: Incarnation, term: u64 },
-    NotCalled,
+pub enum Completion {
+    /// The promotion was requested and may take effect, whatever the answer was.
+    Requested {
+        server: Incarnation,
+        term: u64,
+    },
+    NotRequested,
 }
 
-/// What an attempt needs of its process.
-pub struct Desk<'a> {
+/// The state of the process that an attempt uses.
+pub struct Context<'a> {
     pub cluster: &'a mut Cluster,
-    pub follower: &'a mut Follower,
-    /// The duty's token, while it is held.
+    pub view: &'a mut View,
+    /// The fencing token, while the process is the failover leader.
     pub token: Option<u64>,
-    /// What the watched lives said last.
-    pub lives: &'a mut Map<Incarnation, Detector>,
+    /// Detects statuses of other incarnations of the group's servers.
+    pub detectors: &'a mut Map<Incarnation, Detector>,
 }
 
-/// Whether an answer may be that of the life that was heard before; notes it if so.
-pub fn same_life(
-    lives: &mut Map<Incarnation, Detector>,
+/// Whether a status may be from the registered incarnation of a server. Records it if so.
+pub fn check_status(
+    detectors: &mut Map<Incarnation, Detector>,
     id: &Incarnation,
     status: &Status,
     (asked, now): (u64, u64),
 ) -> bool {
-    let life = lives.entry(id.clone()).or_default();
-    life.accepts(status, moment(asked), moment(now))
+    let detector = detectors.entry(id.clone()).or_default();
+    detector.accepts(status, moment(asked), moment(now))
 }
 
-impl Desk<'_> {
-    fn asker(&self, tag: u64) -> Asker {
-        let node = self.follower.node;
-        Asker { node, tag }
+impl Context<'_> {
+    fn origin(&self, tag: u64) -> Origin {
+        let node = self.view.node;
+        Origin { node, tag }
     }
 }
 
-/// An order that a member has yet to obey.
+/// A command that a member has not answered yet.
 struct Pending {
     member: usize,
-    order: Order,
+    command: Command,
     tag: u64,
-    /// When it is given again.
-    again: Option<u64>,
+    /// When it is sent again, if the member was busy.
+    retry_at: Option<u64>,
 }
 
 enum Stage {
-    Fencing {
-        pending: Vec<Pending>,
-        until: u64,
-    },
-    Waiting {
-        until: u64,
-    },
-    Recording {
-        tag: u64,
-        until: u64,
-    },
+    /// The old primary steps down, and the replicas are held.
+    Fencing { pending: Vec<Pending>, until: u64 },
+    /// Leader leases expire, which takes [`PROMOTION_WAIT`].
+    Waiting { until: u64 },
+    /// The promotion is written to the store.
+    Recording { tag: u64, until: u64 },
+    /// The members' statuses are requested again.
     Rechecking {
         round: usize,
-        /// How many calls are left, all of them before the first.
-        left: usize,
-        asked: Vec<(u64, usize)>,
+        /// How many promotion calls may still be sent.
+        calls_left: usize,
+        /// The tags of unanswered requests, with their members.
+        unanswered: Vec<(u64, usize)>,
         answers: Vec<(Incarnation, Recheck)>,
         until: u64,
     },
-    /// A call was sent; its answer comes at `answered`, or is given up at `until`.
+    /// The promotion call was sent. Its answer arrives at `answered_at`, or is lost.
     Calling {
-        left: usize,
-        until: u64,
-        answered: Option<u64>,
-    },
-    Withdrawing {
-        tag: u64,
+        calls_left: usize,
         until: u64,
+        answered_at: Option<u64>,
     },
+    /// The recorded promotion is withdrawn, as it was not requested.
+    Withdrawing { tag: u64, until: u64 },
 }
 
 pub struct Attempt {
     fence: Fence,
     members: Vec<Member>,
     roster: Roster,
-    recorded: Option<Noted>,
-    old: Option<Incarnation>,
-    holder: usize,
+    /// The group's record before this attempt.
+    recorded: Option<StoredRecord>,
+    old_primary: Option<Incarnation>,
+    coordinator: usize,
     token: u64,
     chosen: Option<Fenced>,
+    /// The revision of the record that this attempt wrote.
     revision: u64,
     stage: Stage,
-    /// The order to step down that an old primary has yet to obey.
-    late: Option<(usize, u64)>,
+    /// The server and tag of a `StepDown` that is repeated while the old primary is busy.
+    late_step_down: Option<(usize, u64)>,
 }
 
 impl Attempt {
     pub fn new(
-        desk: &mut Desk,
-        holder: usize,
+        ctx: &mut Context,
+        coordinator: usize,
         members: Vec<Member>,
         newest: u64,
         roster: Roster,
-        recorded: Option<Noted>,
-        old: Option<Incarnation>,
+        recorded: Option<StoredRecord>,
+        old_primary: Option<Incarnation>,
     ) -> Self {
         let quorum = fence::quorum(roster.len(), 1);
-        let last = recorded.as_ref().and_then(|n| n.record.server.as_deref());
+        let last = recorded
+            .as_ref()
+            .and_then(|stored| stored.record.promoted.as_deref());
         let fence = Fence::new(&members, newest, last, quorum);
         let term = fence.term();
         let mut pending = Vec::new();
         for (member, seen) in members.iter().enumerate() {
-            let order = match Some(&seen.id) == old.as_ref() {
-                true => Order::StepDown(term),
-                false => Order::Hold(term),
+            let command = match Some(&seen.id) == old_primary.as_ref() {
+                true => Command::StepDown(term),
+                false => Command::Pause(term),
             };
-            let tag = desk.cluster.tag();
-            let asker = desk.asker(tag);
-            desk.cluster.ask(asker, index(&seen.id), order);
+            let tag = ctx.cluster.next_tag();
+            let origin = ctx.origin(tag);
+            ctx.cluster
+                .send_command(origin, server_index(&seen.id), command);
             pending.push(Pending {
                 member,
-                order,
+                command,
                 tag,
-                again: None,
+                retry_at: None,
             });
         }
-        desk.cluster.note(|| {
-            format!("attempt of {holder}: old {old:?}, term {term}, quorum {quorum}, {members:?}")
+        ctx.cluster.trace(|| {
+            format!(
+                "attempt of {coordinator}: old {old_primary:?}, term {term}, {quorum} of {members:?}"
+            )
         });
-        let until = desk.cluster.now + ORDER_TIMEOUT;
+        let until = ctx.cluster.now + COMMAND_TIMEOUT_STEPS;
         Self {
             fence,
             members,
             roster,
             recorded,
-            old,
-            holder,
+            old_primary,
+            coordinator,
             token: 0,
             chosen: None,
             revision: 0,
             stage: Stage::Fencing { pending, until },
-            late: None,
+            late_step_down: None,
         }
     }
 
-    /// Takes a server's answer, if it is one to this attempt.
-    pub fn hear(&mut self, desk: &mut Desk, answer: &Answer) {
-        let now = desk.cluster.now;
-        if let (Some((server, tag)), Said::Busy) = (self.late, answer.said) {
+    /// Handles a server's answer, if it belongs to this attempt.
+    pub fn receive(&mut self, ctx: &mut Context, answer: &Answer) {
+        let now = ctx.cluster.now;
+        if let (Some((server, tag)), Body::Busy) = (self.late_step_down, answer.body) {
             if tag == answer.to.tag {
                 let term = self.fence.term();
-                desk.cluster.ask(answer.to, server, Order::StepDown(term));
+                ctx.cluster
+                    .send_command(answer.to, server, Command::StepDown(term));
             }
         }
         match &mut self.stage {
@@ -176,62 +184,78 @@
                 let Some(at) = pending.iter().position(|p| p.tag == answer.to.tag) else {
                     return;
                 };
-                match answer.said {
-                    Said::Busy => pending[at].again = Some(now + 1),
-                    Said::Status(status) => {
+                match answer.body {
+                    Body::Busy => pending[at].retry_at = Some(now + 1),
+                    Body::Status(status) => {
                         let member = &self.members[pending.remove(at).member];
-                        let heard =
-                            match same_life(desk.lives, &member.id, &status, (answer.asked, now)) {
-                                true => self.fence.note(member, &status),
-                                false => Response::Restarted,
-                            };
-                        desk.cluster
-                            .note(|| format!("{} ordered: {heard:?}", member.id));
+                        let response = match check_status(
+                            ctx.detectors,
+                            &member.id,
+                            &status,
+                            (answer.asked, now),
+                        ) {
+                            true => self.fence.note(member, &status),
+                            false => Response::Restarted,
+                        };
+                        ctx.cluster
+                            .trace(|| format!("{} answers: {response:?}", member.id));
                     }
                 }
             }
-            Stage::Rechecking { asked, answers, .. } => {
-                let Some(at) = asked.iter().position(|(tag, ..)| *tag == answer.to.tag) else {
+            Stage::Rechecking {
+                unanswered,
+                answers,
+                ..
+            } => {
+                let Some(at) = unanswered
+                    .iter()
+                    .position(|(tag, ..)| *tag == answer.to.tag)
+                else {
                     return;
                 };
-                let (_, member) = asked.remove(at);
-                let again = match answer.said {
-                    Said::Status(status) => Recheck::Answered(status),
-                    Said::Busy => Recheck::Unavailable,
+                let (_, member) = unanswered.remove(at);
+                let recheck = match answer.body {
+                    Body::Status(status) => Recheck::Answered(status),
+                    Body::Busy => Recheck::Unavailable,
                 };
-                answers.push((self.members[member].id.clone(), again));
+                answers.push((self.members[member].id.clone(), recheck));
             }
             _ => {}
         }
     }
 
-    /// Takes the store's answer, if it is one to this attempt.
-    pub fn written(&mut self, desk: &mut Desk, to: Asker, revision: Option<u64>) -> Option<Ended> {
+    /// Handles the store's answer to a write, if it belongs to this attempt.
+    pub fn record_written(
+        &mut self,
+        ctx: &mut Context,
+        to: Origin,
+        revision: Option<u64>,
+    ) -> Option<Completion> {
         match self.stage {
             Stage::Recording { tag, .. } if tag == to.tag => {
                 let Some(revision) = revision else {
-                    return Some(Ended::NotCalled);
+                    return Some(Completion::NotRequested);
                 };
                 self.revision = revision;
                 let record = self.next_record(self.chosen.as_ref().map(|c| c.id.id.clone()));
-                desk.follower.note(revision, record, desk.cluster.now);
-                self.recheck(desk, 0, promotion::CALLS);
+                ctx.view.note_record(revision, record, ctx.cluster.now);
+                self.start_recheck(ctx, 0, promotion::MAX_CALLS);
             }
             Stage::Withdrawing { tag, .. } if tag == to.tag => {
                 if let Some(revision) = revision {
-                    let record = self.next_record(self.last());
-                    desk.follower.note(revision, record, desk.cluster.now);
+                    let record = self.next_record(self.last_promoted());
+                    ctx.view.note_record(revision, record, ctx.cluster.now);
                 }
-                return Some(self.resume(desk));
+                return Some(self.release_held(ctx));
             }
             _ => {}
         }
         None
     }
 
-    /// What is due at this step.
-    pub fn step(&mut self, desk: &mut Desk) -> Option<Ended> {
-        let now = desk.cluster.now;
+    /// Performs whatever is due at this step.
+    pub fn step(&mut self, ctx: &mut Context) -> Option<Completion> {
+        let now = ctx.cluster.now;
         match &mut self.stage {
             Stage::Fencing { pending, until } => {
                 if now >= *until {
@@ -239,56 +263,71 @@
                 }
                 let due = pending
                     .iter_mut()
-                    .filter(|p| p.again.is_some_and(|at| now >= at));
-                for one in due {
-                    one.again = None;
-                    let node = desk.follower.node;
-                    let server = index(&self.members[one.member].id);
-                    desk.cluster
-                        .ask(Asker { node, tag: one.tag }, server, one.order);
+                    .filter(|p| p.retry_at.is_some_and(|at| now >= at));
+                for pending in due {
+                    pending.retry_at = None;
+                    let node = ctx.view.node;
+                    let server = server_index(&self.members[pending.member].id);
+                    ctx.cluster.send_command(
+                        Origin {
+                            node,
+                            tag: pending.tag,
+                        },
+                        server,
+                        pending.command,
+                    );
                 }
-                let awaited = |p: &Pending| {
+                let is_awaited = |p: &Pending| {
                     let member = &self.members[p.member];
-                    let old = Some(&member.id) == self.old.as_ref();
-                    matches!(member.sight, Sight::Answered(_)) && !old
+                    let is_old_primary = Some(&member.id) == self.old_primary.as_ref();
+                    matches!(member.sight, Sight::Answered(_)) && !is_old_primary
                 };
-                let enough = self.fence.is_complete() && !pending.iter().any(awaited);
+                let enough = self.fence.is_complete() && !pending.iter().any(is_awaited);
                 if enough || pending.is_empty() {
-                    return self.choose(desk);
+                    return self.choose(ctx);
                 }
             }
-            Stage::Waiting { until } if now >= *until => return self.record(desk),
-            Stage::Recording { until, .. } if now >= *until => return Some(Ended::NotCalled),
-            Stage::Withdrawing { until, .. } if now >= *until => return Some(self.resume(desk)),
-            Stage::Rechecking { asked, until, .. } if now >= *until || asked.is_empty() => {
-                return self.rechecked(desk)
+            Stage::Waiting { until } if now >= *until => return self.write_record(ctx),
+            Stage::Recording { until, .. } if now >= *until => {
+                return Some(Completion::NotRequested)
+            }
+            Stage::Withdrawing { until, .. } if now >= *until => {
+                return Some(self.release_held(ctx))
             }
-            Stage::Calling { .. } => return self.calling(desk),
+            Stage::Rechecking {
+                unanswered, until, ..
+            } if now >= *until || unanswered.is_empty() => return self.finish_recheck(ctx),
+            Stage::Calling { .. } => return self.check_call(ctx),
             _ => {}
         }
         None
     }
 
-    fn choose(&mut self, desk: &mut Desk) -> Option<Ended> {
-        let unheard = match &self.stage {
+    /// Chooses the server to promote. An old primary that has not answered is told again to step
+    /// down.
+    fn choose(&mut self, ctx: &mut Context) -> Option<Completion> {
+        let pending_members = match &self.stage {
             Stage::Fencing { pending, .. } => pending.iter().map(|p| p.member).collect(),
             _ => Vec::new(),
         };
         self.chosen = self.fence.choice().cloned();
-        desk.cluster
-            .note(|| format!("chosen {:?} of {:?}", self.chosen, self.fence));
+        ctx.cluster
+            .trace(|| format!("chosen {:?} of {:?}", self.chosen, self.fence));
         if self.chosen.is_none() {
-            return Some(self.resume(desk));
+            return Some(self.release_held(ctx));
         }
-        let is_old = |m: &&usize| Some(&self.members[**m].id) == self.old.as_ref();
-        if let Some(old) = unheard.iter().find(is_old) {
-            let (server, tag) = (index(&self.members[*old].id), desk.cluster.tag());
-            let asker = desk.asker(tag);
-            desk.cluster
-                .ask(asker, server, Order::StepDown(self.fence.term()));
-            self.late = Some((server, tag));
+        let is_old_primary = |m: &&usize| Some(&self.members[**m].id) == self.old_primary.as_ref();
+        if let Some(member) = pending_members.iter().find(is_old_primary) {
+            let (server, tag) = (
+                server_index(&self.members[*member].id),
+                ctx.cluster.next_tag(),
+            );
+            let origin = ctx.origin(tag);
+            ctx.cluster
+                .send_command(origin, server, Command::StepDown(self.fence.term()));
+            self.late_step_down = Some((server, tag));
         }
-        let until = desk.cluster.now + steps(PROMOTION_WAIT);
+        let until = ctx.cluster.now + steps(PROMOTION_WAIT);
         self.stage = Stage::Waiting { until };
         None
     }
--- a/crates/engine/tests/interleavings/attempt/promotion.rs
+++ b/crates/engine/tests/interleavings/attempt/promotion.rs
@@ -1,187 +1,198 @@
-//! From the choice of a server to the call: write down, ask again, call, or take it back.
+//! The second half of an attempt: records the promotion, rechecks the members, and requests the
+//! promotion or withdraws the record.
 
 use dandelionpitch_engine::{fence::Objection, registry::Incarnation};
 
 use super::{
     super::{
-        message::{Mail, Record},
-        scenario::STEP,
-        server::Order,
-        view::index,
+        message::{Message, Record},
+        scenario::STEP_MS,
+        server::Command,
+        view::server_index,
     },
-    Attempt, Desk, Ended, Stage,
+    Attempt, Completion, Context, Stage,
 };
 
-const RECHECK_TIMEOUT: u64 = 150 / STEP;
-const RECHECKS: usize = 3;
-pub(super) const CALLS: usize = 3;
+const RECHECK_TIMEOUT_STEPS: u64 = 150 / STEP_MS;
+const MAX_RECHECKS: usize = 3;
+pub(super) const MAX_CALLS: usize = 3;
 
-/// How long a call of the store or the platform may take.
-const CALL_TIMEOUT: u64 = 1_000 / STEP;
+/// The timeout of a request to the store or to the platform that promotes servers.
+const CALL_TIMEOUT_STEPS: u64 = 1_000 / STEP_MS;
 
 impl Attempt {
-    /// Writes the promotion down, if no server has come and the duty is held.
-    pub(super) fn record(&mut self, desk: &mut Desk) -> Option<Ended> {
-        let known = |id: &Incarnation| self.members.iter().any(|member| member.id == *id);
-        let entries = desk.follower.entries();
-        let grown = !entries.iter().all(|entry| known(&entry.server.incarnation));
-        let (false, Some(token)) = (grown, desk.token) else {
-            return Some(Ended::NotCalled);
+    /// Records the promotion in the store, if no other server has registered meanwhile and this
+    /// process is the failover leader.
+    pub(super) fn write_record(&mut self, ctx: &mut Context) -> Option<Completion> {
+        let is_member = |id: &Incarnation| self.members.iter().any(|member| member.id == *id);
+        let entries = ctx.view.entries();
+        let has_new_server = !entries
+            .iter()
+            .all(|entry| is_member(&entry.server.incarnation));
+        let (false, Some(token)) = (has_new_server, ctx.token) else {
+            return Some(Completion::NotRequested);
         };
         self.token = token;
-        let known = self.recorded.as_ref().map_or(0, |noted| noted.revision);
+        let expected = self.recorded.as_ref().map_or(0, |stored| stored.revision);
         let record = self.next_record(self.chosen.as_ref().map(|c| c.id.id.clone()));
-        let tag = self.write(desk, known, record);
-        let until = desk.cluster.now + CALL_TIMEOUT;
+        let tag = self.write(ctx, expected, record);
+        let until = ctx.cluster.now + CALL_TIMEOUT_STEPS;
         self.stage = Stage::Recording { tag, until };
         None
     }
 
-    fn write(&self, desk: &mut Desk, known: u64, record: Record) -> u64 {
-        let tag = desk.cluster.tag();
-        let from = desk.asker(tag);
-        desk.cluster.write_later(Mail::Write {
+    fn write(&self, ctx: &mut Context, expected: u64, record: Record) -> u64 {
+        let tag = ctx.cluster.next_tag();
+        let from = ctx.origin(tag);
+        ctx.cluster.send_write(Message::Write {
             from,
             token: self.token,
-            known,
+            expected,
             record,
         });
         tag
     }
 
-    pub(super) fn recheck(&mut self, desk: &mut Desk, round: usize, left: usize) {
-        let mut asked = Vec::new();
+    /// Requests the statuses of all members again.
+    pub(super) fn start_recheck(&mut self, ctx: &mut Context, round: usize, calls_left: usize) {
+        let mut unanswered = Vec::new();
         for (member, seen) in self.members.iter().enumerate() {
-            let server = index(&seen.id);
-            let tag = desk.cluster.tag();
-            let asker = desk.asker(tag);
-            desk.cluster.ask(asker, server, Order::Status);
-            asked.push((tag, member));
+            let server = server_index(&seen.id);
+            let tag = ctx.cluster.next_tag();
+            let origin = ctx.origin(tag);
+            ctx.cluster.send_command(origin, server, Command::Status);
+            unanswered.push((tag, member));
         }
-        let until = desk.cluster.now + RECHECK_TIMEOUT;
+        let until = ctx.cluster.now + RECHECK_TIMEOUT_STEPS;
         self.stage = Stage::Rechecking {
             round,
-            left,
-            asked,
+            calls_left,
+            unanswered,
             answers: Vec::new(),
             until,
         };
     }
 
-    pub(super) fn rechecked(&mut self, desk: &mut Desk) -> Option<Ended> {
+    pub(super) fn finish_recheck(&mut self, ctx: &mut Context) -> Option<Completion> {
         let Stage::Rechecking {
             round,
-            left,
+            calls_left,
             answers,
             ..
         } = &self.stage
         else {
             return None;
         };
-        let (round, left) = (*round, *left);
+        let (round, calls_left) = (*round, *calls_left);
         let result = self.fence.recheck(answers);
-        desk.cluster
-            .note(|| format!("recheck: {result:?} by {answers:?}"));
+        ctx.cluster
+            .trace(|| format!("recheck: {result:?} by {answers:?}"));
         match result {
-            Ok(()) => self.call(desk, left),
-            Err(Objection::NoQuorum { .. }) if round + 1 < RECHECKS => {
-                self.recheck(desk, round + 1, left);
+            Ok(()) => self.request_promotion(ctx, calls_left),
+            Err(Objection::NoQuorum { .. }) if round + 1 < MAX_RECHECKS => {
+                self.start_recheck(ctx, round + 1, calls_left);
                 None
             }
-            Err(_) if left < CALLS => self.called(),
+            Err(_) if calls_left < MAX_CALLS => self.requested(),
             Err(_) => {
-                self.withdraw(desk);
+                self.withdraw(ctx);
                 None
             }
         }
     }
 
-    pub(super) fn withdraw(&mut self, desk: &mut Desk) {
-        let record = self.next_record(self.last());
-        let tag = self.write(desk, self.revision, record);
-        let until = desk.cluster.now + CALL_TIMEOUT;
+    /// Writes the previously promoted server back to the record.
+    pub(super) fn withdraw(&mut self, ctx: &mut Context) {
+        let record = self.next_record(self.last_promoted());
+        let tag = self.write(ctx, self.revision, record);
+        let until = ctx.cluster.now + CALL_TIMEOUT_STEPS;
         self.stage = Stage::Withdrawing { tag, until };
     }
 
-    /// Calls for the promotion if the duty is still held.
-    fn call(&mut self, desk: &mut Desk, left: usize) -> Option<Ended> {
-        let (now, sent) = (desk.cluster.now, left < CALLS);
-        if desk.token != Some(self.token) {
-            return self.refused(desk, sent);
+    /// Requests the promotion, if this process is still the failover leader with the same token.
+    fn request_promotion(&mut self, ctx: &mut Context, calls_left: usize) -> Option<Completion> {
+        let (now, sent) = (ctx.cluster.now, calls_left < MAX_CALLS);
+        if ctx.token != Some(self.token) {
+            return self.stop_calling(ctx, sent);
         }
-        let server = index(&self.chosen.as_ref()?.id);
-        let (answered, until) = match desk.cluster.promote(server) {
-            Some(Some(after)) => (Some(now + after), now + CALL_TIMEOUT),
-            Some(None) => return self.refused(desk, sent),
-            None => (None, now + CALL_TIMEOUT),
+        let server = server_index(&self.chosen.as_ref()?.id);
+        let (answered_at, until) = match ctx.cluster.request_promotion(server) {
+            Some(Some(after)) => (Some(now + after), now + CALL_TIMEOUT_STEPS),
+            Some(None) => return self.stop_calling(ctx, sent),
+            None => (None, now + CALL_TIMEOUT_STEPS),
         };
-        let left = left - 1;
+        let calls_left = calls_left - 1;
         self.stage = Stage::Calling {
-            left,
+            calls_left,
             until,
-            answered,
+            answered_at,
         };
         None
     }
 
-    /// Ends without another call; one that was `sent` before may take effect.
-    fn refused(&mut self, desk: &mut Desk, sent: bool) -> Option<Ended> {
+    /// Ends the attempt without another call. The record stays if a call was `sent` earlier, which
+    /// may still take effect.
+    fn stop_calling(&mut self, ctx: &mut Context, sent: bool) -> Option<Completion> {
         if sent {
-            return self.called();
+            return self.requested();
         }
-        self.withdraw(desk);
+        self.withdraw(ctx);
         None
     }
 
-    /// Waits for the answer to a call; a lost one is repeated if the choice still stands.
-    pub(super) fn calling(&mut self, desk: &mut Desk) -> Option<Ended> {
+    /// Waits for the answer to a call. If it is lost, rechecks the members and repeats the call.
+    pub(super) fn check_call(&mut self, ctx: &mut Context) -> Option<Completion> {
         let Stage::Calling {
-            left,
+            calls_left,
             until,
-            answered,
+            answered_at,
         } = self.stage
         else {
             return None;
         };
-        let now = desk.cluster.now;
-        match answered {
-            Some(at) if now >= at => self.called(),
-            None if now >= until && left == 0 => self.called(),
+        let now = ctx.cluster.now;
+        match answered_at {
+            Some(at) if now >= at => self.requested(),
+            None if now >= until && calls_left == 0 => self.requested(),
             None if now >= until => {
-                self.recheck(desk, 0, left);
+                self.start_recheck(ctx, 0, calls_left);
                 None
             }
             _ => None,
         }
     }
 
-    pub(super) fn called(&self) -> Option<Ended> {
+    pub(super) fn requested(&self) -> Option<Completion> {
         let server = self.chosen.as_ref()?.id.clone();
         let term = self.fence.term();
-        Some(Ended::Called { server, term })
+        Some(Completion::Requested { server, term })
     }
 
-    /// Lets the held members go.
-    pub(super) fn resume(&self, desk: &mut Desk) -> Ended {
+    pub(super) fn release_held(&self, ctx: &mut Context) -> Completion {
         for held in self.fence.held() {
-            let tag = desk.cluster.tag();
-            let asker = desk.asker(tag);
-            desk.cluster.ask(asker, index(&held.id), Order::Resume);
+            let tag = ctx.cluster.next_tag();
+            let origin = ctx.origin(tag);
+            ctx.cluster
+                .send_command(origin, server_index(&held.id), Command::Resume);
         }
-        Ended::NotCalled
+        Completion::NotRequested
     }
 
-    pub(super) fn last(&self) -> Option<String> {
+    pub(super) fn last_promoted(&self) -> Option<String> {
         self.recorded
             .as_ref()
-            .and_then(|noted| noted.record.server.clone())
+            .and_then(|stored| stored.record.promoted.clone())
     }
 
-    pub(super) fn next_record(&self, server: Option<String>) -> Record {
+    pub(super) fn next_record(&self, promoted: Option<String>) -> Record {
         Record {
-            holder: self.holder,
-            server,
-            promotions: self.recorded.as_ref().map_or(0, |n| n.record.promotions) + 1,
+            coordinator: self.coordinator,
+            promoted,
+            promotions: self
+                .recorded
+                .as_ref()
+                .map_or(0, |stored| stored.record.promotions)
+                + 1,
             members: self.roster.ids(),
         }
     }
--- a/crates/engine/tests/interleavings/cluster.rs
+++ b/crates/engine/tests/interleavings/cluster.rs
@@ -1,4 +1,4 @@
-//! The servers, the store, the platform's promotions and the network between all parties, in steps.
+//! Simulates the servers, the store, promotions by the platform and the network between all nodes.
 
 mod reads;
 mod servers;
@@ -9,17 +9,17 @@
 use dandelionpitch_engine::{commit::Snapshot, registry::Role, time::Moment};
 
 use super::{
-    message::{Answer, Asker, Mail, Record, Said, Store},
-    scenario::{proxy_node, Fault, Node, Scenario, Trouble, NODES, SERVERS, STEP, STORE},
-    server::{Entry, Order, Server},
+    message::{Answer, Body, Message, Origin, Record, Store},
+    scenario::{proxy_node, Fault, Injection, Node, Scenario, NODES, SERVERS, STEP_MS, STORE},
+    server::{Command, Entry, Server},
 };
 
 pub fn moment(step: u64) -> Moment {
-    Moment::from_boot(Duration::from_millis(100_000 + step * STEP))
+    Moment::from_boot(Duration::from_millis(100_000 + step * STEP_MS))
 }
 
 pub fn steps(length: Duration) -> u64 {
-    length.as_millis() as u64 / STEP
+    length.as_millis() as u64 / STEP_MS
 }
 
 pub struct Cluster {
@@ -27,45 +27,53 @@
     pub scenario: Scenario,
     pub servers: Vec<Server>,
     pub store: Store,
-    /// What the store held when a proxy that tells others of it last heard from it.
-    pub fed: (u64, Store),
-    mail: Vec<(u64, Mail)>,
-    drawn: usize,
-    tags: u64,
-    /// When a server last spoke to the store, and when it may next.
-    spoke: Vec<(u64, u64)>,
-    /// In touch with a newer primary since.
-    in_touch: Vec<Option<u64>>,
-    /// The newest promotion that took effect.
-    pub lead: (usize, u64),
-    /// When it took effect.
-    led_since: Option<u64>,
-    /// The log with which that server began to lead.
-    led: Vec<Entry>,
-    /// How many calls for each server have yet to take effect.
-    called: Vec<usize>,
-    emptied: bool,
-    serials: usize,
+    /// The content of the store as last read by the relay, a proxy that serves it to other
+    /// processes, and when it was read.
+    pub relayed: (u64, Store),
+    /// Messages and when they arrive.
+    in_flight: Vec<(u64, Message)>,
+    delays_drawn: usize,
+    last_tag: u64,
+    /// When each server last renewed its registration, and the earliest time at which it may.
+    heartbeats: Vec<(u64, u64)>,
+    /// Since when each old primary has reached the newest primary.
+    reaches_newer_since: Vec<Option<u64>>,
+    /// The server promoted last, and its term.
+    pub leader: (usize, u64),
+    /// When the last promotion took effect.
+    leader_since: Option<u64>,
+    /// The log of the last promoted server when its promotion took effect.
+    leader_log: Vec<Entry>,
+    /// How many requested promotions of each server have yet to take effect.
+    pending_promotions: Vec<usize>,
+    /// Whether any server has lost its log.
+    has_lost_log: bool,
+    last_serial: usize,
+    /// Commits that the primary has acknowledged to a proxy.
     acked: Vec<Entry>,
-    kept: Vec<Entry>,
-    /// When each of them was reported.
-    reported: Vec<u64>,
+    /// Commits that a proxy has confirmed to its caller.
+    confirmed: Vec<Entry>,
+    /// When each of them was confirmed.
+    confirmed_at: Vec<u64>,
     pub reads: usize,
     pub promotions: usize,
+    /// Describes the first confirmed commit that a promoted server lacks.
     pub lost: Option<String>,
+    /// Describes the first read that missed a confirmed commit.
     pub stale: Option<String>,
     pub trace: Option<Vec<String>>,
 }
 
-/// How many steps pass at most between two times that a feeder hears from the store, while it does.
-const FEED_EVERY: u64 = 60;
+/// The relay reads the store about once in each interval of this length.
+const RELAY_INTERVAL_STEPS: u64 = 60;
 
 impl Cluster {
-    /// Has the proxy that tells others of the store hear from it, at times that differ from case to case.
-    pub fn feed(&mut self) {
-        let spread = hash::stable_hash(&(self.now / FEED_EVERY, self.store.revision)) % FEED_EVERY;
-        if self.now % FEED_EVERY == spread {
-            self.fed = (self.now, self.store.clone());
+    /// Lets the relay read the store, at irregular times that depend on the store's revision.
+    pub fn update_relay(&mut self) {
+        let offset = hash::stable_hash(&(self.now / RELAY_INTERVAL_STEPS, self.store.revision))
+            % RELAY_INTERVAL_STEPS;
+        if self.now % RELAY_INTERVAL_STEPS == offset {
+            self.relayed = (self.now, self.store.clone());
         }
     }
 
@@ -74,27 +82,27 @@
             0 => Role::Primary,
             _ => Role::Replica,
         };
-        let count = scenario.servers;
+        let count = scenario.server_count;
         Self {
             now: 0,
             scenario: scenario.clone(),
             servers: (0..count).map(|i| Server::new(i, role(i))).collect(),
             store: Store::default(),
-            fed: (0, Store::default()),
-            mail: Vec::new(),
-            drawn: 0,
-            tags: 0,
-            spoke: vec![(0, 0); count],
-            in_touch: vec![None; count],
-            lead: (0, 1),
-            led_since: None,
-            led: Vec::new(),
-            called: vec![0; count],
-            emptied: false,
-            serials: 0,
+            relayed: (0, Store::default()),
+            in_flight: Vec::new(),
+            delays_drawn: 0,
+            last_tag: 0,
+            heartbeats: vec![(0, 0); count],
+            reaches_newer_since: vec![None; count],
+            leader: (0, 1),
+            leader_since: None,
+            leader_log: Vec::new(),
+            pending_promotions: vec![0; count],
+            has_lost_log: false,
+            last_serial: 0,
             acked: Vec::new(),
-            kept: Vec::new(),
-            reported: Vec::new(),
+            confirmed: Vec::new(),
+            confirmed_at: Vec::new(),
             reads: 0,
             promotions: 0,
             lost: None,
@@ -103,284 +111,282 @@
         }
     }
 
-    pub fn kept(&self) -> usize {
-        self.kept.len()
+    pub fn confirmed_count(&self) -> usize {
+        self.confirmed.len()
     }
 
-    pub fn note(&mut self, line: impl FnOnce() -> String) {
-        let now = self.now * STEP;
+    /// Adds a line to the trace, if one is kept.
+    pub fn trace(&mut self, line: impl FnOnce() -> String) {
+        let now = self.now * STEP_MS;
         if let Some(trace) = &mut self.trace {
             trace.push(format!("{:6.3} {}", now as f64 / 1_000.0, line()));
         }
     }
 
-    /// The next delay, below `bound` steps.
+    /// Returns the next delay of the scenario, scaled to less than `bound` steps.
     pub fn draw(&mut self, bound: u64) -> u64 {
         let delays = &self.scenario.delays;
-        let delay = u64::from(delays[self.drawn % delays.len()]);
-        self.drawn += 1;
+        let delay = u64::from(delays[self.delays_drawn % delays.len()]);
+        self.delays_drawn += 1;
         delay * bound / 256
     }
 
-    fn troubles(&self) -> impl Iterator<Item = &Trouble> {
+    fn active_faults(&self) -> impl Iterator<Item = &Injection> {
         let now = self.now;
-        let lasts = move |t: &&Trouble| t.from <= now && now < t.from + t.steps;
-        self.scenario.troubles.iter().filter(lasts)
+        let is_active = move |i: &&Injection| i.from <= now && now < i.from + i.steps;
+        self.scenario.injections.iter().filter(is_active)
     }
 
-    pub fn reach(&self, one: Node, other: Node) -> bool {
-        let up = |node: Node| node >= SERVERS || self.servers[node].up;
-        let whole = self.troubles().all(|trouble| match trouble.fault {
-            Fault::Part { inside } => (inside >> one & 1) == (inside >> other & 1),
+    pub fn can_reach(&self, one: Node, other: Node) -> bool {
+        let is_up = |node: Node| node >= SERVERS || self.servers[node].is_up;
+        let is_connected = self.active_faults().all(|active| match active.fault {
+            Fault::Partition { mask } => (mask >> one & 1) == (mask >> other & 1),
             Fault::Link { one: a, other: b } => (a, b) != (one, other) && (b, a) != (one, other),
             _ => true,
         });
-        up(one) && up(other) && whole
+        is_up(one) && is_up(other) && is_connected
     }
 
-    pub fn frozen(&self, promoter: usize) -> bool {
-        self.troubles()
-            .any(|t| matches!(t.fault, Fault::Freeze { promoter: p } if p == promoter))
+    pub fn is_suspended(&self, coordinator: usize) -> bool {
+        self.active_faults()
+            .any(|i| matches!(i.fault, Fault::Suspend { coordinator: c } if c == coordinator))
     }
 
-    fn busy(&self, server: usize) -> bool {
-        let (lead, since) = (self.lead.0, self.led_since);
-        self.troubles().any(|trouble| match trouble.fault {
-            Fault::Busy { inside } => inside >> server & 1 == 1,
-            Fault::Crowd => server == lead && since.is_some_and(|since| trouble.from <= since),
+    fn is_busy(&self, server: usize) -> bool {
+        let (leader, since) = (self.leader.0, self.leader_since);
+        self.active_faults().any(|active| match active.fault {
+            Fault::Busy { mask } => mask >> server & 1 == 1,
+            Fault::NextPrimaryBusy => server == leader && since.is_some_and(|at| active.from <= at),
             _ => false,
         })
     }
 
-    pub fn post(&mut self, delay: u64, mail: Mail) {
-        self.mail.push((self.now + delay, mail));
+    pub fn send(&mut self, delay: u64, message: Message) {
+        self.in_flight.push((self.now + delay, message));
     }
 
-    /// A new tag for a question.
-    pub fn tag(&mut self) -> u64 {
-        self.tags += 1;
-        self.tags
+    /// Returns a new tag for a request.
+    pub fn next_tag(&mut self) -> u64 {
+        self.last_tag += 1;
+        self.last_tag
     }
 
-    /// Sends a change to the store; some arrive seconds late.
-    pub fn write_later(&mut self, mail: Mail) {
+    /// Sends a write to the store. Some writes arrive seconds late.
+    pub fn send_write(&mut self, message: Message) {
         let (late, delay) = (self.draw(64), self.draw(4));
         let delay = delay + late.saturating_sub(59) * 20;
-        self.post(delay, mail);
+        self.send(delay, message);
     }
 
-    /// Asks a server; without an answer nothing comes.
-    pub fn ask(&mut self, from: Asker, server: usize, order: Order) {
+    /// Sends a command to a server. There is no answer if either direction fails.
+    pub fn send_command(&mut self, from: Origin, server: usize, command: Command) {
         let (asked, delay) = (self.now, self.draw(4));
-        self.post(
+        self.send(
             delay,
-            Mail::Ask {
+            Message::Request {
                 from,
                 server,
-                order,
+                command,
                 asked,
             },
         );
     }
 
-    /// Calls for a promotion; returns how long the answer takes, unless it is lost. A call that was held up
-    /// on its way takes effect late.
-    pub fn promote(&mut self, server: usize) -> Option<Option<u64>> {
-        let up = self.servers[server].up;
+    /// Requests a promotion; a delayed request takes effect late. Returns how many steps the answer
+    /// takes, `Some(None)` if it is a refusal, or `None` if it is lost.
+    pub fn request_promotion(&mut self, server: usize) -> Option<Option<u64>> {
+        let is_up = self.servers[server].is_up;
         let (late, effect) = (self.draw(60), self.draw(28));
         let late = late.saturating_sub(30) * 2;
-        self.note(|| format!("call s{server} up={up}"));
-        if !up {
+        self.trace(|| format!("promotion of s{server} requested, is_up: {is_up}"));
+        if !is_up {
             return Some(None);
         }
-        self.called[server] += 1;
-        let effect = (late + 12 + effect).min(2_400 / STEP);
-        self.post(effect, Mail::Effect { server });
+        self.pending_promotions[server] += 1;
+        let effect = (late + 12 + effect).min(2_400 / STEP_MS);
+        self.send(effect, Message::Promotion { server });
         (late == 0).then_some(Some(2))
     }
 
-    /// Everything that arrives at this step, but for what servers and the store take.
-    pub fn arrivals(&mut self) -> Vec<Mail> {
+    /// Handles messages to servers and the store that arrive now, and returns those to other nodes.
+    pub fn deliver(&mut self) -> Vec<Message> {
         let mut arrived = Vec::new();
-        // What is sent without delay arrives in the same step.
+        // Messages sent without delay arrive in the same step.
         loop {
             let now = self.now;
-            let (due, rest) = self.mail.drain(..).partition(|(at, _)| *at <= now);
-            self.mail = rest;
-            let due: Vec<(u64, Mail)> = due;
+            let (due, rest) = self.in_flight.drain(..).partition(|(at, _)| *at <= now);
+            self.in_flight = rest;
+            let due: Vec<(u64, Message)> = due;
             if due.is_empty() {
                 return arrived;
             }
-            for (_, mail) in due {
-                arrived.extend(self.take(mail));
+            for (_, message) in due {
+                arrived.extend(self.dispatch(message));
             }
         }
     }
 
-    fn take(&mut self, mail: Mail) -> Option<Mail> {
-        match mail {
-            Mail::Ask {
+    fn dispatch(&mut self, message: Message) -> Option<Message> {
+        match message {
+            Message::Request {
                 from,
                 server,
-                order,
+                command,
                 asked,
-            } => self.answer(from, server, order, asked),
-            Mail::Commit { proxy, server } => self.commit(proxy, server),
-            Mail::Write {
+            } => self.handle_command(from, server, command, asked),
+            Message::Commit { proxy, server } => self.handle_commit(proxy, server),
+            Message::Write {
                 from,
                 token,
-                known,
+                expected,
                 record,
-            } => self.write(from, token, known, record),
-            Mail::Testify { from, asked } => self.testify(from, asked),
-            Mail::Effect { server } => self.take_effect(server),
-            Mail::Answer(answer) => {
+            } => self.handle_write(from, token, expected, record),
+            Message::ReadRecord { from, asked } => self.handle_record_read(from, asked),
+            Message::Promotion { server } => self.apply_promotion(server),
+            Message::Answer(answer) => {
                 return self
-                    .reach(answer.to.node, answer.server)
-                    .then_some(Mail::Answer(answer))
+                    .can_reach(answer.to.node, answer.server)
+                    .then_some(Message::Answer(answer))
             }
-            Mail::Read {
+            Message::Read {
                 proxy,
                 server,
-                since,
-                after,
-            } => self.read(proxy, server, since, after),
-            Mail::Acked { proxy, server, .. }
-            | Mail::Refused { proxy, server }
-            | Mail::Rows { proxy, server, .. } => {
+                arrived,
+                required,
+            } => self.handle_read(proxy, server, arrived, required),
+            Message::Acked { proxy, server, .. }
+            | Message::Refused { proxy, server }
+            | Message::Rows { proxy, server, .. } => {
                 let node = proxy_node(proxy);
-                return self.reach(node, server).then_some(mail);
+                return self.can_reach(node, server).then_some(message);
             }
-            Mail::Written { to, .. } | Mail::Testified { to, .. } => {
-                return self.reach(to.node, STORE).then_some(mail)
+            Message::Written { to, .. } | Message::RecordRead { to, .. } => {
+                return self.can_reach(to.node, STORE).then_some(message)
             }
         }
         None
     }
 
-    fn answer(&mut self, from: Asker, server: usize, order: Order, asked: u64) {
-        if !self.reach(from.node, server) {
+    fn handle_command(&mut self, from: Origin, server: usize, command: Command, asked: u64) {
+        if !self.can_reach(from.node, server) {
             return;
         }
-        let said = match self.busy(server) {
-            true => Said::Busy,
+        let body = match self.is_busy(server) {
+            true => Body::Busy,
             false => {
-                self.servers[server].obey(order);
-                Said::Status(self.servers[server].status(self.scenario.by_server))
+                self.servers[server].execute(command);
+                Body::Status(self.servers[server].status(self.scenario.use_server_term))
             }
         };
-        if order != Order::Status {
-            self.note(|| format!("s{server} told {order:?} by {}: {said:?}", from.node));
+        if command != Command::Status {
+            self.trace(|| format!("s{server} got {command:?} from {}: {body:?}", from.node));
         }
         let (to, delay) = (from, self.draw(4));
-        self.post(
+        self.send(
             delay,
-            Mail::Answer(Answer {
+            Message::Answer(Answer {
                 to,
                 server,
                 asked,
-                said,
+                body,
             }),
         );
     }
 
-    fn commit(&mut self, proxy: usize, server: usize) {
-        if !self.reach(proxy_node(proxy), server) {
+    fn handle_commit(&mut self, proxy: usize, server: usize) {
+        if !self.can_reach(proxy_node(proxy), server) {
             return;
         }
-        if !self.servers[server].leads() {
-            return self.post(1, Mail::Refused { proxy, server });
+        if !self.servers[server].is_leading() {
+            return self.send(1, Message::Refused { proxy, server });
         }
-        self.serials += 1;
-        let serial = self.serials;
-        self.servers[server].commit(proxy, serial);
+        self.last_serial += 1;
+        let serial = self.last_serial;
+        self.servers[server].append(proxy, serial);
     }
 
-    fn write(&mut self, from: Asker, token: u64, known: u64, record: Record) {
-        if !self.reach(from.node, STORE) {
+    fn handle_write(&mut self, from: Origin, token: u64, expected: u64, record: Record) {
+        if !self.can_reach(from.node, STORE) {
             return;
         }
-        let holds = self.store.duty.is_some_and(|(_, t, _)| t == token);
-        let at = self
+        let is_leader = self.store.leadership.is_some_and(|(_, t, _)| t == token);
+        let current = self
             .store
             .record
             .as_ref()
             .map_or(0, |(revision, _)| *revision);
-        let revision = (holds && at == known).then(|| {
+        let revision = (is_leader && current == expected).then(|| {
             self.store.revision += 1;
             self.store.record = Some((self.store.revision, record.clone()));
             self.store.revision
         });
-        self.note(|| format!("store: {from:?} writes {record:?}: {revision:?}"));
+        self.trace(|| format!("store: {from:?} writes {record:?}: {revision:?}"));
         let delay = self.draw(4);
-        self.post(delay, Mail::Written { to: from, revision });
+        self.send(delay, Message::Written { to: from, revision });
     }
 
-    fn testify(&mut self, from: Asker, asked: u64) {
-        if !self.reach(from.node, STORE) {
+    fn handle_record_read(&mut self, from: Origin, asked: u64) {
+        if !self.can_reach(from.node, STORE) {
             return;
         }
-        let testimony = self.store.record.as_ref().map(|(_, record)| Snapshot {
+        let snapshot = self.store.record.as_ref().map(|(_, record)| Snapshot {
             asked: moment(asked),
-            promoted: record.server.clone(),
+            promoted: record.promoted.clone(),
             members: record.members.clone(),
         });
         let delay = self.draw(4);
-        self.post(
-            delay,
-            Mail::Testified {
-                to: from,
-                testimony,
-            },
-        );
+        self.send(delay, Message::RecordRead { to: from, snapshot });
     }
 
-    /// A promotion takes effect: it ends the holds, and its server leads the next term.
-    fn take_effect(&mut self, server: usize) {
-        self.called[server] -= 1;
-        if !self.servers[server].up || self.lead.0 == server && self.servers[server].leads() {
+    /// Makes a server the primary of the next term and releases the held replicas.
+    fn apply_promotion(&mut self, server: usize) {
+        self.pending_promotions[server] -= 1;
+        if !self.servers[server].is_up
+            || self.leader.0 == server && self.servers[server].is_leading()
+        {
             return;
         }
-        let term = self.lead.1 + 1;
-        self.lead = (server, term);
-        self.led_since = Some(self.now);
+        let term = self.leader.1 + 1;
+        self.leader = (server, term);
+        self.leader_since = Some(self.now);
         self.promotions += 1;
-        for one in &mut self.servers {
-            if one.held <= term {
-                one.held = 0;
+        for other in &mut self.servers {
+            if other.held <= term {
+                other.held = 0;
             }
         }
         let promoted = &mut self.servers[server];
-        (promoted.role, promoted.term, promoted.heard) = (Role::Primary, term, None);
-        self.led = self.servers[server].log.clone();
-        self.note(|| format!("s{server} leads term {term}"));
-        self.check(0);
+        (promoted.role, promoted.term, promoted.next_term) = (Role::Primary, term, None);
+        self.leader_log = self.servers[server].log.clone();
+        self.trace(|| format!("s{server} leads term {term}"));
+        self.check_confirmed(0);
     }
 
-    /// A proxy tells its caller that a commit is kept.
-    pub fn report(&mut self, proxy: usize, entry: Entry, why: &str) {
-        self.note(|| format!("proxy {proxy} reports {entry:?} as kept: {why}"));
-        self.kept.push(entry);
-        self.reported.push(self.now);
-        self.check(self.kept.len() - 1);
+    /// Notes that a proxy has confirmed a commit to its caller.
+    pub fn confirm_commit(&mut self, proxy: usize, entry: Entry, why: &str) {
+        self.trace(|| format!("proxy {proxy} confirms {entry:?}: {why}"));
+        self.confirmed.push(entry);
+        self.confirmed_at.push(self.now);
+        self.check_confirmed(self.confirmed.len() - 1);
     }
 
-    /// What was reported as kept, from the `first` report on, was in the log of the newest promoted server
-    /// when that was promoted. Nothing excuses a loss: a server comes back empty at most once, and only if
-    /// others have all that was acknowledged.
-    fn check(&mut self, first: usize) {
-        let (server, term) = self.lead;
-        let led = &self.led;
-        let lost = |entry: &&Entry| {
-            let at = entry.number as usize;
-            entry.term < term && led.get(at - 1) != Some(entry)
+    /// Checks that the last promoted server had, when it was promoted, every confirmed commit of
+    /// earlier terms from index `first` on. There are no exceptions: a log is lost at most once,
+    /// and only while other servers have every acknowledged commit.
+    fn check_confirmed(&mut self, first: usize) {
+        let (server, term) = self.leader;
+        let leader_log = &self.leader_log;
+        let is_lost = |entry: &&Entry| {
+            let at = entry.lsn as usize;
+            entry.term < term && leader_log.get(at - 1) != Some(entry)
         };
-        if let Some(entry) = self.kept[first..].iter().find(lost) {
+        if let Some(entry) = self.confirmed[first..].iter().find(is_lost) {
             let lost = format!("LOST {entry:?}: not in the log of s{server}, term {term}");
-            self.note(|| lost.clone());
+            self.trace(|| lost.clone());
             self.lost.get_or_insert(lost);
         }
     }
 }
 
+// The bit masks of faults are `u16`.
 const _: () = assert!(NODES <= 16);
--- a/crates/engine/tests/interleavings/cluster/reads.rs
+++ b/crates/engine/tests/interleavings/cluster/reads.rs
@@ -1,27 +1,37 @@
-//! Reads that must see every commit, and what they should have seen.
+//! Runs linearizable reads and checks that they see every commit confirmed before they arrived.
 
 use dandelionpitch_core::position::Position;
 
 use super::{
-    super::{message::Mail, scenario::proxy_node, server::Entry},
+    super::{message::Message, scenario::proxy_node, server::Entry},
     Cluster,
 };
 
 impl Cluster {
-    /// Runs a read on whatever a server has, if that goes up to `after`.
-    pub(super) fn read(&mut self, proxy: usize, server: usize, since: u64, after: Position) {
-        let one = &self.servers[server];
-        let position = one.status(self.scenario.by_server).received;
-        if !self.reach(proxy_node(proxy), server) || position < after {
+    /// Runs a read on a server whose log reaches `required`, whether or not it is the primary.
+    pub(super) fn handle_read(
+        &mut self,
+        proxy: usize,
+        server: usize,
+        arrived: u64,
+        required: Position,
+    ) {
+        let source = &self.servers[server];
+        let position = source.status(self.scenario.use_server_term).received;
+        if !self.can_reach(proxy_node(proxy), server) || position < required {
             return;
         }
-        let reported = self.reported.partition_point(|at| *at < since);
-        let missed = |entry: &&Entry| !one.has(entry);
-        let missed = self.kept[..reported].iter().rev().find(missed).copied();
+        let confirmed_before = self.confirmed_at.partition_point(|at| *at < arrived);
+        let is_missed = |entry: &&Entry| !source.has_entry(entry);
+        let missed = self.confirmed[..confirmed_before]
+            .iter()
+            .rev()
+            .find(is_missed)
+            .copied();
         let delay = self.draw(4);
-        self.post(
+        self.send(
             delay,
-            Mail::Rows {
+            Message::Rows {
                 proxy,
                 server,
                 position,
@@ -30,12 +40,12 @@
         );
     }
 
-    /// A proxy hands rows to its caller.
-    pub fn hand(&mut self, proxy: usize, server: usize, missed: Option<Entry>) {
+    /// Notes that a proxy has returned the rows of a read to its caller.
+    pub fn return_rows(&mut self, proxy: usize, server: usize, missed: Option<Entry>) {
         self.reads += 1;
         if let Some(entry) = missed {
             let stale = format!("STALE proxy {proxy} read on s{server}, which lacks {entry:?}");
-            self.note(|| stale.clone());
+            self.trace(|| stale.clone());
             self.stale.get_or_insert(stale);
         }
     }
--- a/crates/engine/tests/interleavings/cluster/servers.rs
+++ b/crates/engine/tests/interleavings/cluster/servers.rs
@@ -1,73 +1,77 @@
-//! What servers do by themselves in a step: begin and end faults, register, follow, acknowledge.
+//! Events that no message triggers: faults, registrations, replication and acknowledgements.
 
 use dandelionpitch_engine::registry::Role;
 
 use super::{
     super::{
-        message::Mail,
-        scenario::{Fault, Node, NODES, STEP, STORE},
+        message::Message,
+        scenario::{Fault, Node, NODES, STEP_MS, STORE},
         server::{Entry, Server},
     },
     Cluster,
 };
 
-/// How long an entry of a server that is silent stays: three of its reports.
-const LAPSE: u64 = 1_500 / STEP;
+/// How long a registration lasts after its last renewal.
+const REGISTRATION_TTL_STEPS: u64 = 1_500 / STEP_MS;
 
-/// How long after its start a server registers at the latest.
-const REGISTERS: u64 = 2_000 / STEP;
+/// The longest time between a server's restart and its registration.
+const MAX_REGISTRATION_DELAY_STEPS: u64 = 2_000 / STEP_MS;
 
-/// How long a primary goes on that reaches the new one.
-const GOES_ON: u64 = 1_000 / STEP;
+/// How long an old primary that reaches the new one still leads.
+const STEP_DOWN_DELAY_STEPS: u64 = 1_000 / STEP_MS;
 
 impl Cluster {
-    /// What servers do by themselves in a step.
+    /// Advances all servers by one step.
     pub fn step(&mut self) {
-        self.begin_and_end();
-        self.register();
-        self.old_primaries();
+        self.apply_faults();
+        self.update_registrations();
+        self.demote_old_primaries();
         self.replicate();
         self.acknowledge();
     }
 
-    /// Servers are drawn by their distance from the one that leads when a fault begins.
-    fn resolve(&mut self) {
-        let (lead, count) = (self.lead.0, self.servers.len());
-        let turned = |node: Node| match node < count {
-            true => (node + lead) % count,
+    /// Replaces the server offsets of faults that begin now by indexes, relative to the leader.
+    fn resolve_offsets(&mut self) {
+        let (leader, count) = (self.leader.0, self.servers.len());
+        let rotate = |node: Node| match node < count {
+            true => (node + leader) % count,
             false => node,
         };
         let now = self.now;
-        let begin = self.scenario.troubles.iter_mut().filter(|t| t.from == now);
-        for trouble in begin {
-            match &mut trouble.fault {
+        let starting = self
+            .scenario
+            .injections
+            .iter_mut()
+            .filter(|injection| injection.from == now);
+        for injection in starting {
+            match &mut injection.fault {
                 Fault::Crash { server, .. } | Fault::Leave { server } => {
-                    *server = turned(*server);
+                    *server = rotate(*server);
                 }
-                Fault::Link { one, other } => (*one, *other) = (turned(*one), turned(*other)),
-                Fault::Part { inside } | Fault::Busy { inside } => {
-                    let nodes = (0..NODES).filter(|node| *inside >> node & 1 == 1);
-                    *inside = nodes.map(|node| 1 << turned(node)).sum();
+                Fault::Link { one, other } => (*one, *other) = (rotate(*one), rotate(*other)),
+                Fault::Partition { mask } | Fault::Busy { mask } => {
+                    let nodes = (0..NODES).filter(|node| *mask >> node & 1 == 1);
+                    *mask = nodes.map(|node| 1 << rotate(node)).sum();
                 }
-                Fault::Freeze { .. } | Fault::Crowd => {}
+                Fault::Suspend { .. } | Fault::NextPrimaryBusy => {}
             }
         }
     }
 
-    fn begin_and_end(&mut self) {
-        self.resolve();
-        for trouble in self.scenario.troubles.clone() {
+    fn apply_faults(&mut self) {
+        self.resolve_offsets();
+        for injection in self.scenario.injections.clone() {
             let (begins, ends) = (
-                trouble.from == self.now,
-                trouble.from + trouble.steps == self.now,
+                injection.from == self.now,
+                injection.from + injection.steps == self.now,
             );
-            match trouble.fault {
+            match injection.fault {
                 Fault::Crash { server, .. } if begins && server < self.servers.len() => {
-                    self.servers[server].up = false;
-                    self.note(|| format!("s{server} crashes"));
+                    self.servers[server].is_up = false;
+                    self.trace(|| format!("s{server} crashes"));
                 }
-                Fault::Crash { server, empty } if ends && server < self.servers.len() => {
-                    self.start(server, empty);
+                Fault::Crash { server, loses_log } if ends && server < self.servers.len() => {
+                    self.restart(server, loses_log);
                 }
                 Fault::Leave { server } if begins && server < self.servers.len() => {
                     self.servers[server].leaving = true;
@@ -75,70 +79,79 @@
                 _ => {}
             }
             if begins {
-                self.note(|| format!("{trouble:?}"));
+                self.trace(|| format!("{injection:?}"));
             }
         }
     }
 
-    fn start(&mut self, server: usize, empty: bool) {
-        if self.servers[server].up {
+    fn restart(&mut self, server: usize, loses_log: bool) {
+        if self.servers[server].is_up {
             return;
         }
-        let elsewhere = |entry: &Entry| {
+        let is_elsewhere = |entry: &Entry| {
             let others = self
                 .servers
                 .iter()
                 .enumerate()
                 .filter(|(i, _)| *i != server);
-            others.into_iter().any(|(_, other)| other.has(entry))
+            others.into_iter().any(|(_, other)| other.has_entry(entry))
         };
-        let copied = self.acked.iter().all(elsewhere);
-        let replica = self.servers[server].role == Role::Replica;
-        // A server that is emptied between a call and its effect leads with nothing, whoever asks what before.
-        let empty = empty && copied && replica && !self.emptied && self.called[server] == 0;
-        self.emptied |= empty;
-        let replaced = self.lead.0 != server;
-        let started = &mut self.servers[server];
-        started.start(empty);
-        if replaced && started.role == Role::Primary {
-            started.step_down();
+        let has_copies = self.acked.iter().all(is_elsewhere);
+        let is_replica = self.servers[server].role == Role::Replica;
+        // A server that loses its log between a promotion call and its effect would lead with an
+        // empty log, which no check before the call can prevent.
+        let loses_log = loses_log
+            && has_copies
+            && is_replica
+            && !self.has_lost_log
+            && self.pending_promotions[server] == 0;
+        self.has_lost_log |= loses_log;
+        let is_replaced = self.leader.0 != server;
+        let restarted = &mut self.servers[server];
+        restarted.restart(loses_log);
+        if is_replaced && restarted.role == Role::Primary {
+            restarted.step_down();
         }
-        let wait = self.draw(REGISTERS + 1);
-        self.spoke[server].1 = self.now + wait;
-        self.note(|| format!("s{server} starts, empty: {empty}, registers after {wait} steps"));
+        let wait = self.draw(MAX_REGISTRATION_DELAY_STEPS + 1);
+        self.heartbeats[server].1 = self.now + wait;
+        self.trace(|| format!("s{server} is up, log lost: {loses_log}, registers in {wait} steps"));
     }
 
-    /// Servers that reach the store register, with some delay; entries of silent ones lapse.
-    fn register(&mut self) {
+    /// Registers servers that reach the store, and expires registrations and the failover leader's
+    /// lease.
+    fn update_registrations(&mut self) {
         for server in 0..self.servers.len() {
             let (id, leaving) = (
                 self.servers[server].id.clone(),
                 self.servers[server].leaving,
             );
-            if self.reach(server, STORE) && self.now >= self.spoke[server].1 {
-                self.spoke[server].0 = self.now;
+            if self.can_reach(server, STORE) && self.now >= self.heartbeats[server].1 {
+                self.heartbeats[server].0 = self.now;
                 self.store.registered.insert(server, (id, leaving));
-            } else if self.now - self.spoke[server].0 >= LAPSE {
+            } else if self.now - self.heartbeats[server].0 >= REGISTRATION_TTL_STEPS {
                 self.store.registered.remove(&server);
             }
         }
         if self
             .store
-            .duty
+            .leadership
             .is_some_and(|(_, _, until)| self.now >= until)
         {
-            self.store.duty = None;
+            self.store.leadership = None;
         }
     }
 
-    fn old_primaries(&mut self) {
-        let (lead, term) = self.lead;
+    /// Makes an old primary step down once it has reached the newest one for
+    /// [`STEP_DOWN_DELAY_STEPS`].
+    fn demote_old_primaries(&mut self) {
+        let (leader, term) = self.leader;
         for server in 0..self.servers.len() {
-            let old = self.servers[server].leads() && self.servers[server].term < term;
-            let touch = old && self.servers[lead].leads() && self.reach(server, lead);
-            let since = &mut self.in_touch[server];
-            match touch {
-                true if self.now - *since.get_or_insert(self.now) >= GOES_ON => {
+            let is_old = self.servers[server].is_leading() && self.servers[server].term < term;
+            let reaches_newer =
+                is_old && self.servers[leader].is_leading() && self.can_reach(server, leader);
+            let since = &mut self.reaches_newer_since[server];
+            match reaches_newer {
+                true if self.now - *since.get_or_insert(self.now) >= STEP_DOWN_DELAY_STEPS => {
                     self.servers[server].step_down();
                     *since = None;
                 }
@@ -148,75 +161,80 @@
         }
     }
 
+    /// Lets replicas copy the log of their primary. A replica that reaches a newer primary switches
+    /// to it after a delay.
     fn replicate(&mut self) {
         for replica in 0..self.servers.len() {
-            let one = &self.servers[replica];
-            if !one.up || one.role != Role::Replica || one.held != 0 {
+            let server = &self.servers[replica];
+            if !server.is_up || server.role != Role::Replica || server.held != 0 {
                 continue;
             }
-            let term = one.term;
+            let term = server.term;
             let primaries = 0..self.servers.len();
             let newest = primaries
-                .filter(|p| self.servers[*p].leads() && self.servers[*p].term >= term)
-                .filter(|p| self.reach(replica, *p))
+                .filter(|p| self.servers[*p].is_leading() && self.servers[*p].term >= term)
+                .filter(|p| self.can_reach(replica, *p))
                 .max_by_key(|p| self.servers[*p].term);
             let Some(newest) = newest else { continue };
-            let leads = self.servers[newest].term;
-            let known = one.heard.filter(|(heard, _)| *heard == leads);
-            let from = match known {
-                _ if leads == term => Some(newest),
+            let newest_term = self.servers[newest].term;
+            let known = server
+                .next_term
+                .filter(|(next_term, _)| *next_term == newest_term);
+            let source = match known {
+                _ if newest_term == term => Some(newest),
                 Some((_, at)) if self.now >= at => Some(newest),
-                Some(_) => self.primary_of(replica, term),
+                Some(_) => self.primary_of_term(replica, term),
                 None => {
                     let at = self.now + self.draw(12);
-                    self.servers[replica].heard = Some((leads, at));
-                    self.primary_of(replica, term)
+                    self.servers[replica].next_term = Some((newest_term, at));
+                    self.primary_of_term(replica, term)
                 }
             };
-            if let Some(from) = from {
-                let primary = self.servers[from].clone();
-                let heard = self.servers[replica].heard;
-                self.servers[replica].follow(&primary);
+            if let Some(source) = source {
+                let primary = self.servers[source].clone();
+                let next_term = self.servers[replica].next_term;
+                self.servers[replica].replicate_from(&primary);
                 if primary.term == term {
-                    self.servers[replica].heard = heard;
+                    self.servers[replica].next_term = next_term;
                 }
             }
         }
     }
 
-    /// The primary of a term, if a replica reaches it.
-    fn primary_of(&self, replica: usize, term: u64) -> Option<usize> {
-        let leads = |p: &usize| self.servers[*p].leads() && self.servers[*p].term == term;
-        let mut primaries = (0..self.servers.len()).filter(leads);
-        primaries.find(|p| self.reach(replica, *p))
+    /// The primary of a term, if `replica` reaches it.
+    fn primary_of_term(&self, replica: usize, term: u64) -> Option<usize> {
+        let is_primary = |p: &usize| self.servers[*p].is_leading() && self.servers[*p].term == term;
+        let mut primaries = (0..self.servers.len()).filter(is_primary);
+        primaries.find(|p| self.can_reach(replica, *p))
     }
 
+    /// Acknowledges commits that at least one replica of the primary's term has received.
     fn acknowledge(&mut self) {
         for server in 0..self.servers.len() {
-            if !self.servers[server].leads() {
+            if !self.servers[server].is_leading() {
                 continue;
             }
             let term = self.servers[server].term;
-            for waiting in std::mem::take(&mut self.servers[server].waiting) {
-                let (proxy, entry) = (waiting.proxy, waiting.entry);
-                let confirms = |(i, other): (usize, &Server)| {
+            for unacked in std::mem::take(&mut self.servers[server].unacked) {
+                let (proxy, entry) = (unacked.proxy, unacked.entry);
+                let acknowledges = |(i, other): (usize, &Server)| {
                     let follows = other.role == Role::Replica && other.term == term;
-                    i != server && follows && other.has(&entry) && self.reach(i, server)
+                    i != server && follows && other.has_entry(&entry) && self.can_reach(i, server)
                 };
-                match self.servers.iter().enumerate().any(confirms) {
+                match self.servers.iter().enumerate().any(acknowledges) {
                     true => {
                         self.acked.push(entry);
                         let delay = self.draw(4);
-                        self.post(
+                        self.send(
                             delay,
-                            Mail::Acked {
+                            Message::Acked {
                                 proxy,
                                 server,
                                 entry,
                             },
                         );
                     }
-                    false => self.servers[server].waiting.push(waiting),
+                    false => self.servers[server].unacked.push(unacked),
                 }
             }
         }
--- a/crates/engine/tests/interleavings/coordinator.rs
+++ b/crates/engine/tests/interleavings/coordinator.rs
@@ -1,4 +1,4 @@
-//! A process that may hold the failover duty: it watches the servers, judges and starts attempts.
+//! A process that performs failovers while it is the failover leader.
 
 mod group;
 
@@ -11,225 +11,244 @@
 };
 
 use super::{
-    attempt::{same_life, Attempt, Desk, Ended},
+    attempt::{check_status, Attempt, Completion, Context},
     cluster::{moment, steps, Cluster},
-    message::{Answer, Asker, Mail, Said},
-    scenario::{promoter_node, STEP, STORE},
-    view::Follower,
+    message::{Answer, Body, Message, Origin},
+    scenario::{coordinator_node, STEP_MS, STORE},
+    view::View,
 };
-use group::Watched;
+use group::Group;
 
-const TICK: u64 = 100 / STEP;
-const SETTLE: u64 = 1_200 / STEP;
-const RETRY: u64 = 400 / STEP;
+/// How often the group is evaluated.
+const TICK_STEPS: u64 = 100 / STEP_MS;
 
-pub struct Promoter {
+/// The pause after an attempt that requested a promotion.
+const SETTLE_DELAY_STEPS: u64 = 1_200 / STEP_MS;
+
+/// The pause after an attempt or a write of the record that failed.
+const RETRY_DELAY_STEPS: u64 = 400 / STEP_MS;
+
+pub struct Coordinator {
     number: usize,
-    follower: Follower,
-    duty: Election,
-    renewed: u64,
-    watched: Option<Watched>,
+    view: View,
+    election: Election,
+    renewed_at: u64,
+    /// The state of the group, while this process is the failover leader.
+    group: Option<Group>,
     attempts: Vec<Attempt>,
-    lives: Map<Incarnation, Detector>,
+    detectors: Map<Incarnation, Detector>,
 }
 
-impl Promoter {
+impl Coordinator {
     pub fn new(number: usize) -> Self {
         Self {
             number,
-            follower: Follower::new(promoter_node(number)),
-            duty: Election::default(),
-            renewed: 0,
-            watched: None,
+            view: View::new(coordinator_node(number)),
+            election: Election::default(),
+            renewed_at: 0,
+            group: None,
             attempts: Vec::new(),
-            lives: Map::default(),
+            detectors: Map::default(),
         }
     }
 
-    pub fn take(&mut self, cluster: &mut Cluster, mail: &Mail) {
-        match mail {
-            Mail::Answer(answer) => self.hear(cluster, answer),
-            Mail::Written { to, revision } => self.written(cluster, *to, *revision),
+    pub fn receive(&mut self, cluster: &mut Cluster, message: &Message) {
+        match message {
+            Message::Answer(answer) => self.receive_answer(cluster, answer),
+            Message::Written { to, revision } => self.record_written(cluster, *to, *revision),
             _ => {}
         }
     }
 
-    fn hear(&mut self, cluster: &mut Cluster, answer: &Answer) {
-        self.attend(cluster, |attempt, desk| {
-            attempt.hear(desk, answer);
+    fn receive_answer(&mut self, cluster: &mut Cluster, answer: &Answer) {
+        self.update_attempts(cluster, |attempt, ctx| {
+            attempt.receive(ctx, answer);
             None
         });
-        let watchers = self.watched.iter_mut().flat_map(|w| &mut w.watchers);
+        let probes = self.group.iter_mut().flat_map(|group| &mut group.probes);
         let tag = answer.to.tag;
-        for (id, watcher) in watchers {
-            if !matches!(watcher.pending, Some((pending, _)) if pending == tag) {
+        for (id, probe) in probes {
+            if !matches!(probe.pending, Some((pending, _)) if pending == tag) {
                 continue;
             }
-            watcher.pending = None;
-            match answer.said {
-                Said::Status(status)
-                    if same_life(&mut self.lives, id, &status, (answer.asked, cluster.now)) =>
+            probe.pending = None;
+            match answer.body {
+                Body::Status(status)
+                    if check_status(
+                        &mut self.detectors,
+                        id,
+                        &status,
+                        (answer.asked, cluster.now),
+                    ) =>
                 {
-                    watcher.sight = Sight::Answered(status);
-                    watcher.answered = answer.asked;
+                    probe.sight = Sight::Answered(status);
+                    probe.last_answered = answer.asked;
                 }
-                Said::Busy if watcher.lately(answer.asked) => {}
-                Said::Status(_) | Said::Busy => watcher.lost(answer.asked, cluster.now),
+                Body::Busy if probe.answered_recently(answer.asked) => {}
+                Body::Status(_) | Body::Busy => probe.mark_lost(answer.asked, cluster.now),
             }
         }
     }
 
-    fn written(&mut self, cluster: &mut Cluster, to: Asker, revision: Option<u64>) {
-        self.attend(cluster, |attempt, desk| attempt.written(desk, to, revision));
-        let Some(watched) = &mut self.watched else {
+    fn record_written(&mut self, cluster: &mut Cluster, to: Origin, revision: Option<u64>) {
+        self.update_attempts(cluster, |attempt, ctx| {
+            attempt.record_written(ctx, to, revision)
+        });
+        let Some(group) = &mut self.group else {
             return;
         };
-        if matches!(watched.writing, Some((tag, _)) if tag == to.tag) {
-            let again = cluster.now + if revision.is_some() { 0 } else { RETRY };
-            watched.writing = Some((0, again));
+        if matches!(group.last_write, Some((tag, _)) if tag == to.tag) {
+            let next_write = cluster.now
+                + if revision.is_some() {
+                    0
+                } else {
+                    RETRY_DELAY_STEPS
+                };
+            group.last_write = Some((0, next_write));
         }
     }
 
-    /// Goes through the attempts; one that has ended is noted and dropped.
-    fn attend(
+    /// Applies `update` to all attempts, and drops those that end.
+    fn update_attempts(
         &mut self,
         cluster: &mut Cluster,
-        act: impl Fn(&mut Attempt, &mut Desk) -> Option<Ended>,
+        update: impl Fn(&mut Attempt, &mut Context) -> Option<Completion>,
     ) {
         for mut attempt in std::mem::take(&mut self.attempts) {
-            let token = self.duty.token(moment(cluster.now));
-            let (follower, lives) = (&mut self.follower, &mut self.lives);
-            let mut desk = Desk {
+            let token = self.election.token(moment(cluster.now));
+            let (view, detectors) = (&mut self.view, &mut self.detectors);
+            let mut ctx = Context {
                 cluster,
-                follower,
+                view,
                 token,
-                lives,
+                detectors,
             };
-            match act(&mut attempt, &mut desk) {
+            match update(&mut attempt, &mut ctx) {
                 None => self.attempts.push(attempt),
-                Some(ended) => self.ended(&ended, cluster.now),
+                Some(completion) => self.attempt_ended(&completion, cluster.now),
             }
         }
     }
 
-    fn ended(&mut self, ended: &Ended, now: u64) {
-        let Some(watched) = &mut self.watched else {
+    fn attempt_ended(&mut self, completion: &Completion, now: u64) {
+        let Some(group) = &mut self.group else {
             return;
         };
-        watched.trying = false;
-        match ended {
-            Ended::Called { server, term } => {
-                watched.memory.note_promotion(server, *term, moment(now));
-                watched.not_before = now + SETTLE;
+        group.is_attempting = false;
+        match completion {
+            Completion::Requested { server, term } => {
+                group.monitor.note_promotion(server, *term, moment(now));
+                group.next_attempt = now + SETTLE_DELAY_STEPS;
             }
-            Ended::NotCalled => {
-                watched.memory.note_attempt();
-                watched.not_before = now + RETRY;
+            Completion::NotRequested => {
+                group.monitor.note_attempt();
+                group.next_attempt = now + RETRY_DELAY_STEPS;
             }
         }
     }
 
     pub fn step(&mut self, cluster: &mut Cluster) {
-        if self.follower.step(cluster) {
-            let seen = self.follower.duty;
+        if self.view.sync(cluster) {
+            let seen = self.view.leadership;
             let seen = seen.map(|(holder, token)| (holder.to_string(), token));
-            self.duty
+            self.election
                 .note_holder(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
         }
-        self.keep_duty(cluster);
-        self.attend(cluster, |attempt, desk| attempt.step(desk));
-        if cluster.now.is_multiple_of(TICK) {
-            self.look(cluster);
+        self.maintain_leadership(cluster);
+        self.update_attempts(cluster, |attempt, ctx| attempt.step(ctx));
+        if cluster.now.is_multiple_of(TICK_STEPS) {
+            self.evaluate_group(cluster);
         }
     }
 
-    /// Renews the lease of the duty, or claims it when it is free.
-    fn keep_duty(&mut self, cluster: &mut Cluster) {
+    /// Renews the failover leader's lease, or acquires the leadership if it is vacant.
+    fn maintain_leadership(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
-        if !cluster.reach(self.follower.node, STORE) {
+        if !cluster.can_reach(self.view.node, STORE) {
             return;
         }
         let until = now + steps(LEASE_TTL);
-        if self.duty.is_elected() {
-            if now < self.renewed + steps(RENEW_INTERVAL) {
+        if self.election.is_elected() {
+            if now < self.renewed_at + steps(RENEW_INTERVAL) {
                 return;
             }
-            match &mut cluster.store.duty {
+            match &mut cluster.store.leadership {
                 Some((holder, _, end)) if *holder == self.number => {
                     *end = until;
-                    self.duty.note_renewal(moment(now));
-                    self.renewed = now;
+                    self.election.note_renewal(moment(now));
+                    self.renewed_at = now;
                 }
-                _ => self.duty.note_expiry(),
+                _ => self.election.note_expiry(),
             }
-        } else if self.duty.is_vacant() && cluster.store.duty.is_none() {
+        } else if self.election.is_vacant() && cluster.store.leadership.is_none() {
             cluster.store.revision += 1;
             let token = cluster.store.revision;
-            cluster.store.duty = Some((self.number, token, until));
-            self.duty.note_won(&self.number.to_string(), token);
-            self.duty.note_renewal(moment(now));
-            self.renewed = now;
-            cluster.note(|| format!("promoter {} takes the duty", self.number));
+            cluster.store.leadership = Some((self.number, token, until));
+            self.election.note_won(&self.number.to_string(), token);
+            self.election.note_renewal(moment(now));
+            self.renewed_at = now;
+            cluster.trace(|| format!("coordinator {} becomes the failover leader", self.number));
         }
     }
 
-    /// Asks the servers, judges the group and starts an attempt if one is due.
-    fn look(&mut self, cluster: &mut Cluster) {
+    /// Polls the servers, evaluates the group and starts an attempt if one is necessary.
+    fn evaluate_group(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
-        let Some(token) = self.duty.token(moment(now)) else {
-            self.watched = None;
-            self.lives.clear();
+        let Some(token) = self.election.token(moment(now)) else {
+            self.group = None;
+            self.detectors.clear();
             return;
         };
-        let entries = self.follower.entries();
+        let entries = self.view.entries();
         if entries.is_empty() {
             return;
         }
-        let recorded = self.follower.recorded.clone();
-        let trying = !self.attempts.is_empty();
-        let watched = self
-            .watched
-            .get_or_insert_with(|| Watched::new(recorded, trying, now));
-        let members = watched.members(&entries, now);
-        watched.follow_record(&self.follower, now);
-        watched.roster.update(&members, moment(now));
-        watched.keep_roster(cluster, self.follower.node, self.number, token);
-        let calm = takeover::leader(&members).is_some() && !watched.memory.is_suspect(moment(now));
-        watched.ask(cluster, self.follower.node, calm);
-        watched.depose_old(&members);
-        if watched.trying || now < watched.not_before {
+        let recorded = self.view.recorded.clone();
+        let is_attempting = !self.attempts.is_empty();
+        let group = self
+            .group
+            .get_or_insert_with(|| Group::new(recorded, is_attempting, now));
+        let members = group.members(&entries, now);
+        group.merge_record(&self.view, now);
+        group.roster.update(&members, moment(now));
+        group.write_roster(cluster, self.view.node, self.number, token);
+        let is_stable =
+            takeover::leader(&members).is_some() && !group.monitor.is_suspect(moment(now));
+        group.poll(cluster, self.view.node, is_stable);
+        group.step_down_old_primaries(&members);
+        if group.is_attempting || now < group.next_attempt {
             return;
         }
-        let old = match watched.memory.evaluate(&members, moment(now)) {
+        let old = match group.monitor.evaluate(&members, moment(now)) {
             Decision::Replace { old, .. } => old,
-            Decision::Resume => return watched.resume_held(&members),
+            Decision::Resume => return group.resume_held(&members),
             Decision::Healthy | Decision::Undecided => return,
         };
-        let noted = self.follower.recorded.as_ref();
-        let ours = noted.is_none_or(|noted| {
-            let (record, past) = (&noted.record, now - noted.promoted);
-            record.holder == self.number
+        let stored = self.view.recorded.as_ref();
+        let may_promote = stored.is_none_or(|stored| {
+            let (record, elapsed) = (&stored.record, now - stored.promoted_at);
+            record.coordinator == self.number
                 || record.promotions == 0
-                || past >= steps(PROMOTION_COOLDOWN)
+                || elapsed >= steps(PROMOTION_COOLDOWN)
         });
-        let watchers = watched.watchers.values_mut();
-        let settled = watchers.filter_map(|watcher| watcher.cancel_resume().then_some(()));
-        let settled = settled.count() == watched.watchers.len();
-        if !ours || !settled {
+        let probes = group.probes.values_mut();
+        let resumes_done = probes.filter_map(|probe| probe.cancel_resume().then_some(()));
+        let resumes_done = resumes_done.count() == group.probes.len();
+        if !may_promote || !resumes_done {
             return;
         }
-        watched.trying = true;
-        let (newest, roster) = (watched.memory.newest_term(), watched.roster.clone());
-        let recorded = watched.recorded.clone();
-        let (follower, lives) = (&mut self.follower, &mut self.lives);
-        let mut desk = Desk {
+        group.is_attempting = true;
+        let (newest, roster) = (group.monitor.newest_term(), group.roster.clone());
+        let recorded = group.recorded.clone();
+        let (view, detectors) = (&mut self.view, &mut self.detectors);
+        let mut ctx = Context {
             cluster,
-            follower,
+            view,
             token: Some(token),
-            lives,
+            detectors,
         };
         let attempt = Attempt::new(
-            &mut desk,
+            &mut ctx,
             self.number,
             members,
             newest,
--- a/crates/engine/tests/interleavings/coordinator/group.rs
+++ b/crates/engine/tests/interleavings/coordinator/group.rs
@@ -1,4 +1,5 @@
-//! The group as the holder of the duty sees it: its servers' last answers, the roster and the memory.
+//! The group as the failover leader sees it: its servers' last statuses, the servers that count for
+//! promotions and the failure detector.
 
 use std::collections::BTreeMap;
 
@@ -10,54 +11,61 @@
 
 use super::super::{
     cluster::{moment, steps, Cluster},
-    message::{Asker, Mail, Record},
-    scenario::STEP,
-    server::Order,
-    view::{index, Follower, Noted},
+    message::{Message, Origin, Record},
+    scenario::STEP_MS,
+    server::Command,
+    view::{server_index, StoredRecord, View},
 };
 
-const ASK_REPLICAS_EVERY: u64 = 500 / STEP;
-const ASK_TIMEOUT: u64 = 350 / STEP;
+/// How often replicas of a healthy group are polled.
+const REPLICA_INTERVAL_STEPS: u64 = 500 / STEP_MS;
 
-/// When a server that is out of reach counts as lost.
-const NOT_REACHED: u64 = 250 / STEP;
+const STATUS_TIMEOUT_STEPS: u64 = 350 / STEP_MS;
 
-/// How long a server may owe an answer before it counts as lost.
-const SLOW_LIMIT: u64 = 2_500 / STEP;
+/// How long after a request an unreachable server counts as lost.
+const CONNECT_TIMEOUT_STEPS: u64 = 250 / STEP_MS;
 
-/// A server under observation.
-pub struct Watcher {
+/// How long a reachable server may leave requests unanswered before it counts as lost.
+const MAX_SILENCE_STEPS: u64 = 2_500 / STEP_MS;
+
+/// Polls one server.
+pub struct Probe {
     pub sight: Sight,
-    pub answered: u64,
+    /// When the last answered request was sent.
+    pub last_answered: u64,
+    /// When the last request was sent.
     pub asked: Option<u64>,
-    /// The question under way.
-    pub pending: Option<(u64, Order)>,
-    pub order: Option<Order>,
+    /// The tag and command of the request in flight.
+    pub pending: Option<(u64, Command)>,
+    /// The command to send next, in place of a status request.
+    pub command: Option<Command>,
 }
 
-impl Watcher {
+impl Probe {
     pub fn new(now: u64) -> Self {
         Self {
             sight: Sight::Unknown,
-            answered: now,
+            last_answered: now,
             asked: None,
             pending: None,
-            order: None,
+            command: None,
         }
     }
 
+    /// Cancels a queued `Resume`. Returns whether none is in flight.
     pub fn cancel_resume(&mut self) -> bool {
-        if self.order == Some(Order::Resume) {
-            self.order = None;
+        if self.command == Some(Command::Resume) {
+            self.command = None;
         }
-        !matches!(self.pending, Some((_, Order::Resume)))
+        !matches!(self.pending, Some((_, Command::Resume)))
     }
 
-    pub fn lately(&self, asked: u64) -> bool {
-        asked.saturating_sub(self.answered) < SLOW_LIMIT
+    /// Whether the last answered request was sent less than [`MAX_SILENCE_STEPS`] before `asked`.
+    pub fn answered_recently(&self, asked: u64) -> bool {
+        asked.saturating_sub(self.last_answered) < MAX_SILENCE_STEPS
     }
 
-    pub fn lost(&mut self, asked: u64, now: u64) {
+    pub fn mark_lost(&mut self, asked: u64, now: u64) {
         if !matches!(self.sight, Sight::Lost { .. }) {
             let since = takeover::lost_since(moment(asked), moment(now));
             self.sight = Sight::Lost { since };
@@ -65,127 +73,143 @@
     }
 }
 
-/// What is kept of the group while the duty is held.
-pub struct Watched {
-    pub memory: Monitor,
+/// The state of the group, kept while this process is the failover leader.
+pub struct Group {
+    pub monitor: Monitor,
     pub roster: Roster,
-    pub recorded: Option<Noted>,
-    pub writing: Option<(u64, u64)>,
-    pub not_before: u64,
-    pub trying: bool,
-    pub watchers: BTreeMap<Incarnation, Watcher>,
+    pub recorded: Option<StoredRecord>,
+    /// The tag of the last write of the record, and when the next may be sent.
+    pub last_write: Option<(u64, u64)>,
+    /// No attempt starts earlier.
+    pub next_attempt: u64,
+    pub is_attempting: bool,
+    pub probes: BTreeMap<Incarnation, Probe>,
 }
 
-impl Watched {
-    pub fn new(recorded: Option<Noted>, trying: bool, now: u64) -> Self {
-        let members = recorded.as_ref().map(|noted| &noted.record.members[..]);
+impl Group {
+    pub fn new(recorded: Option<StoredRecord>, is_attempting: bool, now: u64) -> Self {
+        let members = recorded.as_ref().map(|stored| &stored.record.members[..]);
         let promoted = recorded
             .as_ref()
-            .filter(|noted| noted.record.promotions > 0);
+            .filter(|stored| stored.record.promotions > 0);
         Self {
-            memory: Monitor::default(),
+            monitor: Monitor::default(),
             roster: Roster::new(members.unwrap_or_default(), moment(now)),
-            not_before: promoted.map_or(now, |noted| noted.promoted + steps(PROMOTION_COOLDOWN)),
+            next_attempt: promoted
+                .map_or(now, |stored| stored.promoted_at + steps(PROMOTION_COOLDOWN)),
             recorded,
-            writing: None,
-            trying,
-            watchers: BTreeMap::new(),
+            last_write: None,
+            is_attempting,
+            probes: BTreeMap::new(),
         }
     }
 
     pub fn members(&mut self, entries: &[Entry], now: u64) -> Vec<Member> {
-        let present = |id: &Incarnation| entries.iter().any(|e| e.server.incarnation == *id);
-        self.watchers.retain(|id, _| present(id));
+        let is_registered = |id: &Incarnation| entries.iter().any(|e| e.server.incarnation == *id);
+        self.probes.retain(|id, _| is_registered(id));
         let member = |entry: &Entry| {
             let id = entry.server.incarnation.clone();
-            let watcher = self.watchers.entry(id.clone());
-            let watcher = watcher.or_insert_with(|| Watcher::new(now));
+            let probe = self.probes.entry(id.clone());
+            let probe = probe.or_insert_with(|| Probe::new(now));
             Member {
                 id,
                 leaving: entry.server.leaving,
-                sight: watcher.sight,
-                asked: moment(watcher.answered),
+                sight: probe.sight,
+                asked: moment(probe.last_answered),
             }
         };
         entries.iter().map(member).collect()
     }
 
-    pub fn follow_record(&mut self, follower: &Follower, now: u64) {
-        let Some(noted) = &follower.recorded else {
+    /// Applies the record in `view`, which another process may have changed.
+    pub fn merge_record(&mut self, view: &View, now: u64) {
+        let Some(stored) = &view.recorded else {
             return;
         };
-        if self.recorded.as_ref().map(|known| known.revision) != Some(noted.revision) {
-            self.roster.merge(&noted.record.members, moment(now));
-            self.recorded = Some(noted.clone());
+        if self.recorded.as_ref().map(|known| known.revision) != Some(stored.revision) {
+            self.roster.merge(&stored.record.members, moment(now));
+            self.recorded = Some(stored.clone());
         }
     }
 
-    pub fn keep_roster(&mut self, cluster: &mut Cluster, node: usize, holder: usize, token: u64) {
+    /// Writes the servers that count for promotions to the store, if they have changed.
+    pub fn write_roster(
+        &mut self,
+        cluster: &mut Cluster,
+        node: usize,
+        coordinator: usize,
+        token: u64,
+    ) {
         let members = self.roster.ids();
         let known = self.recorded.as_ref();
-        let same = known.is_some_and(|noted| noted.record.members == members);
-        let writing = self.writing.is_some_and(|(_, until)| cluster.now < until);
-        if same || writing || self.trying {
+        let is_unchanged = known.is_some_and(|stored| stored.record.members == members);
+        let is_writing = self
+            .last_write
+            .is_some_and(|(_, until)| cluster.now < until);
+        if is_unchanged || is_writing || self.is_attempting {
             return;
         }
-        let last = known.map(|noted| noted.record.clone()).unwrap_or_default();
+        let last = known
+            .map(|stored| stored.record.clone())
+            .unwrap_or_default();
         let record = Record {
-            holder,
+            coordinator,
             members,
             ..last
         };
-        let known = known.map_or(0, |noted| noted.revision);
-        let tag = cluster.tag();
-        let from = Asker { node, tag };
-        cluster.write_later(Mail::Write {
+        let expected = known.map_or(0, |stored| stored.revision);
+        let tag = cluster.next_tag();
+        let from = Origin { node, tag };
+        cluster.send_write(Message::Write {
             from,
             token,
-            known,
+            expected,
             record,
         });
-        self.writing = Some((tag, cluster.now + 1_000 / STEP));
+        self.last_write = Some((tag, cluster.now + 1_000 / STEP_MS));
     }
 
-    /// Asks each server if it is time to; notes questions that were not answered.
-    pub fn ask(&mut self, cluster: &mut Cluster, node: usize, calm: bool) {
+    /// Sends due requests to the servers, and marks servers as lost whose requests have timed out.
+    pub fn poll(&mut self, cluster: &mut Cluster, node: usize, is_stable: bool) {
         let now = cluster.now;
-        for (id, watcher) in &mut self.watchers {
-            let server = index(id);
-            if let (Some(_), Some(asked)) = (watcher.pending, watcher.asked) {
-                let unreached = now - asked >= NOT_REACHED && !cluster.reach(node, server);
-                let late = now - asked >= ASK_TIMEOUT;
-                if unreached || late && !watcher.lately(asked) {
-                    watcher.lost(asked, now);
+        for (id, probe) in &mut self.probes {
+            let server = server_index(id);
+            if let (Some(_), Some(asked)) = (probe.pending, probe.asked) {
+                let is_unreachable =
+                    now - asked >= CONNECT_TIMEOUT_STEPS && !cluster.can_reach(node, server);
+                let is_late = now - asked >= STATUS_TIMEOUT_STEPS;
+                if is_unreachable || is_late && !probe.answered_recently(asked) {
+                    probe.mark_lost(asked, now);
                 }
-                if !unreached && !late {
+                if !is_unreachable && !is_late {
                     continue;
                 }
-                watcher.pending = None;
+                probe.pending = None;
             }
-            let every = match watcher.sight {
+            let interval = match probe.sight {
                 Sight::Answered(Status {
                     role: Role::Replica,
                     held: 0,
                     ..
-                }) if calm => ASK_REPLICAS_EVERY,
+                }) if is_stable => REPLICA_INTERVAL_STEPS,
                 _ => steps(STATUS_INTERVAL),
             };
-            if watcher.asked.is_some_and(|asked| now - asked < every) {
+            if probe.asked.is_some_and(|asked| now - asked < interval) {
                 continue;
             }
-            let order = watcher.order.take().unwrap_or(Order::Status);
-            let tag = cluster.tag();
-            (watcher.asked, watcher.pending) = (Some(now), Some((tag, order)));
-            cluster.ask(Asker { node, tag }, server, order);
+            let command = probe.command.take().unwrap_or(Command::Status);
+            let tag = cluster.next_tag();
+            (probe.asked, probe.pending) = (Some(now), Some((tag, command)));
+            cluster.send_command(Origin { node, tag }, server, command);
         }
     }
 
-    pub fn depose_old(&mut self, members: &[Member]) {
+    pub fn step_down_old_primaries(&mut self, members: &[Member]) {
         let newest = takeover::newest_term(members);
         for member in members {
-            let old = |status: Status| status.role == Role::Primary && status.term < newest;
-            if matches!(member.sight, Sight::Answered(status) if old(status)) {
-                self.tell(&member.id, Order::StepDown(newest));
+            let is_old = |status: Status| status.role == Role::Primary && status.term < newest;
+            if matches!(member.sight, Sight::Answered(status) if is_old(status)) {
+                self.queue_command(&member.id, Command::StepDown(newest));
             }
         }
     }
@@ -193,14 +217,14 @@
     pub fn resume_held(&mut self, members: &[Member]) {
         for member in members {
             if matches!(member.sight, Sight::Answered(status) if status.held != 0) {
-                self.tell(&member.id, Order::Resume);
+                self.queue_command(&member.id, Command::Resume);
             }
         }
     }
 
-    pub fn tell(&mut self, id: &Incarnation, order: Order) {
-        if let Some(watcher) = self.watchers.get_mut(id) {
-            watcher.order = Some(order);
+    pub fn queue_command(&mut self, id: &Incarnation, command: Command) {
+        if let Some(probe) = self.probes.get_mut(id) {
+            probe.command = Some(command);
         }
     }
 }
--- a/crates/engine/tests/interleavings/main.rs
+++ b/crates/engine/tests/interleavings/main.rs
@@ -1,5 +1,6 @@
-//! Searches the interleavings of promotion and confirmation, over the engine's plain functions, for a commit
-//! that a caller was told is kept and that a promoted server lacks.
+//! Randomised model test of the engine: simulates a group of servers with proxies, failover
+//! coordinators and a key-value store, and searches orders of events for a confirmed commit that a
+//! promoted server or a linearizable read misses.
 
 mod attempt;
 mod cluster;
@@ -15,73 +16,75 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestError, TestRng, TestRunner};
 
 use cluster::Cluster;
-use coordinator::Promoter;
-use message::Mail;
+use coordinator::Coordinator;
+use message::Message;
 use proxy::Proxy;
-use scenario::{Scenario, LENGTH, PROMOTERS, PROXIES, SERVERS};
+use scenario::{Scenario, CASE_STEPS, COORDINATORS, PROXIES, SERVERS};
 
-/// How many cases are played: as many as fit into some 20 s of a debug build.
+/// The number of cases, unless `DP_MODEL_CASES` is set.
 const CASES: u32 = 1_000;
 
-/// Plays a case to its end, or until a commit is lost.
-fn play(scenario: &Scenario, traced: bool) -> Cluster {
+/// Runs a case to its end, or until a commit is lost.
+fn run_case(scenario: &Scenario, traced: bool) -> Cluster {
     let mut cluster = Cluster::new(scenario, traced);
     let mut proxies: Vec<Proxy> = (0..PROXIES).map(Proxy::new).collect();
-    let mut promoters: Vec<Promoter> = (0..PROMOTERS).map(Promoter::new).collect();
-    let mut waiting: Vec<(usize, Mail)> = Vec::new();
-    while cluster.now < LENGTH && cluster.lost.is_none() {
+    let mut coordinators: Vec<Coordinator> = (0..COORDINATORS).map(Coordinator::new).collect();
+    let mut undelivered: Vec<(usize, Message)> = Vec::new();
+    while cluster.now < CASE_STEPS && cluster.lost.is_none() {
         cluster.step();
-        for mail in cluster.arrivals() {
-            let node = match &mail {
-                Mail::Answer(answer) => answer.to.node,
-                Mail::Acked { proxy, .. }
-                | Mail::Refused { proxy, .. }
-                | Mail::Rows { proxy, .. } => SERVERS + proxy,
-                Mail::Written { to, .. } | Mail::Testified { to, .. } => to.node,
+        for message in cluster.deliver() {
+            let node = match &message {
+                Message::Answer(answer) => answer.to.node,
+                Message::Acked { proxy, .. }
+                | Message::Refused { proxy, .. }
+                | Message::Rows { proxy, .. } => SERVERS + proxy,
+                Message::Written { to, .. } | Message::RecordRead { to, .. } => to.node,
                 _ => continue,
             };
             match node.checked_sub(SERVERS + PROXIES) {
-                Some(promoter) => waiting.push((promoter, mail)),
-                None => proxies[node - SERVERS].take(&mut cluster, &mail),
+                Some(coordinator) => undelivered.push((coordinator, message)),
+                None => proxies[node - SERVERS].receive(&mut cluster, &message),
             }
         }
-        for (number, promoter) in promoters.iter_mut().enumerate() {
-            if cluster.frozen(number) {
+        for (number, coordinator) in coordinators.iter_mut().enumerate() {
+            if cluster.is_suspended(number) {
                 continue;
             }
-            let (own, others) = waiting.drain(..).partition(|(to, _)| *to == number);
-            waiting = others;
-            let own: Vec<(usize, Mail)> = own;
+            let (own, others) = undelivered.drain(..).partition(|(to, _)| *to == number);
+            undelivered = others;
+            let own: Vec<(usize, Message)> = own;
             own.iter()
-                .for_each(|(_, mail)| promoter.take(&mut cluster, mail));
-            promoter.step(&mut cluster);
+                .for_each(|(_, message)| coordinator.receive(&mut cluster, message));
+            coordinator.step(&mut cluster);
         }
         proxies
             .iter_mut()
             .for_each(|proxy| proxy.step(&mut cluster));
-        cluster.feed();
+        cluster.update_relay();
         cluster.now += 1;
     }
     cluster
 }
 
-/// How many cases are wished for by `DP_MODEL_CASES`, for a longer search. They begin with those of every run.
+/// The number of cases to run. The seed is fixed, so a longer search starts with the default cases.
 fn cases() -> u32 {
-    let wished = std::env::var("DP_MODEL_CASES").ok();
-    wished.and_then(|cases| cases.parse().ok()).unwrap_or(CASES)
+    let requested = std::env::var("DP_MODEL_CASES").ok();
+    requested
+        .and_then(|cases| cases.parse().ok())
+        .unwrap_or(CASES)
 }
 
-/// What the cases came to, up to the first that shows a fault.
+/// Totals over all cases, up to the first that fails.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     cases: usize,
     promotions: usize,
-    kept: usize,
+    confirmed: usize,
     reads: usize,
 }
 
-/// Plays all cases; fails with the trace of one in which `fault` finds something.
-fn search(fault: impl Fn(&Cluster) -> Option<String>) -> Tally {
+/// Runs all cases; panics with the trace of one in which `violation` returns a description.
+fn search(violation: impl Fn(&Cluster) -> Option<String>) -> Tally {
     let config = Config {
         cases: cases(),
         failure_persistence: None,
@@ -90,54 +93,52 @@
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let played = Cell::new(Tally::default());
-    let first = Cell::new(None);
+    let total = Cell::new(Tally::default());
+    let first_failure = Cell::new(None);
 
-    let found = runner.run(&scenario::scenario(), |scenario| {
-        let cluster = play(&scenario, false);
-        let mut tally = played.get();
+    let result = runner.run(&scenario::scenario(), |scenario| {
+        let cluster = run_case(&scenario, false);
+        let mut tally = total.get();
         tally.cases += 1;
         tally.promotions += cluster.promotions;
-        tally.kept += cluster.kept();
+        tally.confirmed += cluster.confirmed_count();
         tally.reads += cluster.reads;
-        if first.get().is_none() {
-            played.set(tally);
+        if first_failure.get().is_none() {
+            total.set(tally);
         }
-        match fault(&cluster) {
+        match violation(&cluster) {
             None => Ok(()),
-            Some(fault) => {
-                first.set(first.get().or(Some(tally.cases)));
-                Err(TestCaseError::fail(fault))
+            Some(violation) => {
+                first_failure.set(first_failure.get().or(Some(tally.cases)));
+                Err(TestCaseError::fail(violation))
             }
         }
     });
 
-    if let Err(TestError::Fail(why, scenario)) = found {
-        let trace = play(&scenario, true).trace.unwrap_or_default();
-        let (trace, case) = (trace.join("\n"), played.get().cases);
-        panic!("{why} (found by case {case}, then made smaller)\n{scenario:?}\n{trace}");
+    if let Err(TestError::Fail(why, scenario)) = result {
+        let trace = run_case(&scenario, true).trace.unwrap_or_default();
+        let (trace, case) = (trace.join("\n"), total.get().cases);
+        panic!("{why} (found in case {case}, then shrunk)\n{scenario:?}\n{trace}");
     }
-    let tally = played.get();
+    let tally = total.get();
     println!("{tally:?}");
     tally
 }
 
-/// A caller is told that its commit is kept; then, or a moment before, another server is promoted. Servers,
-/// promoters, proxies and the store lose touch, are busy, crash, start again and freeze at any time, and
-/// answers and calls come late or never. Whatever the order, the promoted server has the commit: else the
-/// caller was told something that is not true.
+/// Guards against confirming a commit that a server promoted before or after the confirmation
+/// lacks, under partitions, restarts, busy servers, suspended processes and lost or late messages.
 #[test]
-fn commit_that_is_reported_as_kept_is_in_every_promoted_log() {
+fn confirmed_commit_is_in_every_promoted_log() {
     let tally = search(|cluster| cluster.lost.clone());
 
-    let enough = tally.promotions > tally.cases / 2 && tally.kept > 10 * tally.cases;
-    assert!(enough, "too little happened: {tally:?}");
+    let enough = tally.promotions > tally.cases / 2 && tally.confirmed > 10 * tally.cases;
+    assert!(enough, "too few promotions or confirmed commits: {tally:?}");
 }
 
-/// A read that must see every commit runs on a server that the proxy takes for the primary. Guards against a
-/// lease that outlives its primary's lead: the rows lack a commit that another caller was told is kept.
+/// Guards against a leader lease that stays valid after another server was promoted: a linearizable
+/// read on the old primary would miss a commit confirmed to another caller.
 #[test]
-fn read_on_the_known_primary_misses_no_commit_reported_before() {
+fn linearizable_read_sees_every_confirmed_commit() {
     let tally = search(|cluster| cluster.stale.clone());
 
     assert!(tally.reads > 10 * tally.cases, "too few reads: {tally:?}");
--- a/crates/engine/tests/interleavings/message.rs
+++ b/crates/engine/tests/interleavings/message.rs
@@ -1,52 +1,57 @@
-//! What is on its way between the parties, and what the store holds.
+//! The messages between nodes, and the content of the key-value store.
 
 use dandelionpitch_core::{hash::Map, position::Position};
 use dandelionpitch_engine::{commit::Snapshot, registry::Incarnation, takeover::Status};
 
 use super::{
     scenario::Node,
-    server::{Entry, Order},
+    server::{Command, Entry},
 };
 
-/// Who asks, and which of its questions it is.
+/// Identifies a request by the node that sent it and a unique tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
+pub struct Origin {
     pub node: Node,
     pub tag: u64,
 }
 
-/// What a server says.
+/// The content of a server's answer.
 #[derive(Clone, Copy, Debug)]
-pub enum Said {
+pub enum Body {
     Status(Status),
+    /// The server did not execute the command.
     Busy,
 }
 
-/// A server's answer.
+/// A server's answer to a command that was sent at `asked`.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    pub to: Asker,
+    pub to: Origin,
     pub server: usize,
     pub asked: u64,
-    pub said: Said,
+    pub body: Body,
 }
 
-/// The record of the group.
+/// The group's record in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
-    pub holder: usize,
-    pub server: Option<String>,
+    /// The coordinator that wrote it.
+    pub coordinator: usize,
+    /// The server promoted last, or about to be promoted.
+    pub promoted: Option<String>,
+    /// How many times a promotion was recorded or withdrawn.
     pub promotions: u64,
+    /// The servers that count for promotions.
     pub members: Vec<Incarnation>,
 }
 
-/// What is on its way.
+/// A message between nodes.
 #[derive(Clone, Debug)]
-pub enum Mail {
-    Ask {
-        from: Asker,
+pub enum Message {
+    Request {
+        from: Origin,
         server: usize,
-        order: Order,
+        command: Command,
         asked: u64,
     },
     Answer(Answer),
@@ -63,50 +68,55 @@
         proxy: usize,
         server: usize,
     },
-    /// A read that must see all that was reported as kept before `since`, on a log that goes up to `after`.
+    /// A read that must see every commit confirmed before `arrived`, and runs only on a log that
+    /// reaches `required`.
     Read {
         proxy: usize,
         server: usize,
-        since: u64,
-        after: Position,
+        arrived: u64,
+        required: Position,
     },
-    /// What a server's log that was read had, and a commit that it should have had.
+    /// The end of the log on which a read ran, and a confirmed commit that the log lacked.
     Rows {
         proxy: usize,
         server: usize,
         position: Position,
         missed: Option<Entry>,
     },
+    /// A write of the group's record, conditional on the fencing token and the record's revision.
     Write {
-        from: Asker,
+        from: Origin,
         token: u64,
-        known: u64,
+        expected: u64,
         record: Record,
     },
-    /// The revision, or `None` if a condition did not hold.
+    /// The record's new revision, or `None` if a condition did not hold.
     Written {
-        to: Asker,
+        to: Origin,
         revision: Option<u64>,
     },
-    Testify {
-        from: Asker,
+    ReadRecord {
+        from: Origin,
         asked: u64,
     },
-    Testified {
-        to: Asker,
-        testimony: Option<Snapshot>,
+    RecordRead {
+        to: Origin,
+        snapshot: Option<Snapshot>,
     },
-    Effect {
+    /// A requested promotion takes effect.
+    Promotion {
         server: usize,
     },
 }
 
-/// The store: the group's record, the duty's key and the registrations.
+/// The content of the key-value store.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     pub revision: u64,
+    /// The group's record and its revision.
     pub record: Option<(u64, Record)>,
-    /// Holder, token and the end of the lease.
-    pub duty: Option<(usize, u64, u64)>,
+    /// The failover leader, its fencing token and the end of its lease.
+    pub leadership: Option<(usize, u64, u64)>,
+    /// The registered servers, by index, and whether each is leaving.
     pub registered: Map<usize, (Incarnation, bool)>,
 }
--- a/crates/engine/tests/interleavings/proxy.rs
+++ b/crates/engine/tests/interleavings/proxy.rs
@@ -1,5 +1,6 @@
-//! A proxy: it commits at the primary it believes in, and tells its caller that a commit is kept only when
-//! that is proved, in the order of the daemon's.
+//! A simulated proxy. It sends commits to the server that it takes for the primary, and confirms
+//! them to its callers only once they are proved durable, with the same steps in the same order as
+//! the real proxy.
 
 mod durability;
 mod reads;
@@ -15,39 +16,43 @@
 
 use super::{
     cluster::{moment, Cluster},
-    message::{Answer, Asker, Mail, Said},
-    scenario::{proxy_node, STEP},
-    server::Order,
-    view::{index, Follower},
+    message::{Answer, Body, Message, Origin},
+    scenario::{proxy_node, STEP_MS},
+    server::Command,
+    view::{server_index, View},
 };
 use durability::Pending;
 use reads::Reads;
 
-/// How many replicas a commit waits for.
+/// How many replicas must receive a commit before the primary acknowledges it.
 const SYNC_REPLICAS: usize = 1;
 
-const FIRST_ANSWER: u64 = 400 / STEP;
-const LATE_ANSWER: u64 = 1;
-const SEARCH_EVERY: u64 = 500 / STEP;
-const SEARCH_LIMIT: u64 = 500 / STEP;
-/// How often the lease is renewed ahead of reads.
-const POLL_EVERY: u64 = 250 / STEP;
+const ROUND_TIMEOUT_STEPS: u64 = 400 / STEP_MS;
 
-/// Questions to several servers, asked at one time.
+/// How long a round waits for further answers once it has one.
+const LATE_ANSWER_GRACE_STEPS: u64 = 1;
+
+const SEARCH_INTERVAL_STEPS: u64 = 500 / STEP_MS;
+const SEARCH_TIMEOUT_STEPS: u64 = 500 / STEP_MS;
+
+/// How often the lease is renewed in the background.
+const POLL_INTERVAL_STEPS: u64 = 250 / STEP_MS;
+
+/// A round of status requests to several servers.
 #[derive(Default)]
 struct Round {
     asked: u64,
-    /// Tags of those that have yet to answer, and when they are asked.
+    /// Unanswered requests: the tag, the server, and when the request is sent.
     open: Vec<(u64, Incarnation, u64)>,
     followers: usize,
-    /// When the round ends without another answer.
-    ends: u64,
+    /// When the round ends, even if answers are missing.
+    deadline: u64,
     answers: Vec<(Incarnation, Status)>,
 }
 
 impl Round {
-    /// Takes an answer to one of its questions; returns whose it is.
-    fn takes(&mut self, tag: u64) -> Option<Incarnation> {
+    /// Removes the request with this tag, which has been answered, and returns its server.
+    fn take_answer(&mut self, tag: u64) -> Option<Incarnation> {
         let at = self.open.iter().position(|(open, ..)| *open == tag)?;
         Some(self.open.remove(at).1)
     }
@@ -55,16 +60,20 @@
 
 pub struct Proxy {
     number: usize,
-    follower: Follower,
+    view: View,
+    /// The known primary and its term.
     leader: Option<(Incarnation, u64)>,
     lease: Lease,
-    last: Map<Incarnation, Status>,
+    last_statuses: Map<Incarnation, Status>,
+    /// The round that looks for a newer primary.
     search: Option<Round>,
-    searched: u64,
+    last_search: u64,
+    /// The round that renews the lease.
     poll: Option<Round>,
-    polled: u64,
+    last_poll: u64,
+    /// Acknowledged commits that are not confirmed yet.
     pending: Vec<Pending>,
-    flying: bool,
+    is_reading_record: bool,
     reads: Reads,
 }
 
@@ -72,226 +81,239 @@
     pub fn new(number: usize) -> Self {
         Self {
             number,
-            follower: Follower::new(proxy_node(number)),
+            view: View::new(proxy_node(number)),
             leader: None,
             lease: Lease::default(),
-            last: Map::default(),
+            last_statuses: Map::default(),
             search: None,
-            searched: 0,
+            last_search: 0,
             poll: None,
-            polled: 0,
+            last_poll: 0,
             pending: Vec::new(),
-            flying: false,
+            is_reading_record: false,
             reads: Reads::default(),
         }
     }
 
-    pub fn take(&mut self, cluster: &mut Cluster, mail: &Mail) {
-        match mail {
-            Mail::Answer(answer) => self.hear(cluster, answer),
-            Mail::Acked { server, entry, .. } => self.acked(cluster, *server, *entry),
-            Mail::Refused { server, .. } => self.depose(*server),
-            Mail::Rows {
+    pub fn receive(&mut self, cluster: &mut Cluster, message: &Message) {
+        match message {
+            Message::Answer(answer) => self.receive_answer(cluster, answer),
+            Message::Acked { server, entry, .. } => self.receive_ack(cluster, *server, *entry),
+            Message::Refused { server, .. } => self.clear_leader_if(*server),
+            Message::Rows {
                 server,
                 position,
                 missed,
                 ..
-            } => self.rows(cluster, *server, *position, *missed),
-            Mail::Testified { to, testimony } => self.testified(cluster, *to, testimony.as_ref()),
+            } => self.receive_rows(cluster, *server, *position, *missed),
+            Message::RecordRead { to, snapshot } => {
+                self.receive_record(cluster, *to, snapshot.as_ref())
+            }
             _ => {}
         }
     }
 
     pub fn step(&mut self, cluster: &mut Cluster) {
-        if self.follower.step(cluster) {
-            let entries = self.follower.entries();
-            let gone = |id: &Incarnation| !entries.iter().any(|e| e.server.incarnation == *id);
-            if self.leader.as_ref().is_some_and(|(id, _)| gone(id)) {
-                self.revoke_leader();
+        if self.view.sync(cluster) {
+            let entries = self.view.entries();
+            let is_gone = |id: &Incarnation| !entries.iter().any(|e| e.server.incarnation == *id);
+            if self.leader.as_ref().is_some_and(|(id, _)| is_gone(id)) {
+                self.clear_leader();
             }
         }
-        self.keep_search(cluster);
-        self.keep_poll(cluster);
+        self.advance_search(cluster);
+        self.advance_poll(cluster);
         for pending in std::mem::take(&mut self.pending) {
-            self.go_on(cluster, pending);
+            self.advance(cluster, pending);
         }
-        self.keep_reads(cluster);
-        let writes = self.number == 0 || !cluster.scenario.reads_only;
-        let due = writes && cluster.now % cluster.scenario.pace == self.number as u64;
-        if let (true, Some((id, _))) = (due, &self.leader) {
-            let (proxy, server, delay) = (self.number, index(id), cluster.draw(4));
-            cluster.post(delay, Mail::Commit { proxy, server });
+        self.advance_reads(cluster);
+        let writes = self.number == 0 || !cluster.scenario.has_read_only_proxy;
+        let is_due = writes && cluster.now % cluster.scenario.commit_interval == self.number as u64;
+        if let (true, Some((id, _))) = (is_due, &self.leader) {
+            let (proxy, server, delay) = (self.number, server_index(id), cluster.draw(4));
+            cluster.send(delay, Message::Commit { proxy, server });
         }
     }
 
-    fn revoke_leader(&mut self) {
+    fn clear_leader(&mut self) {
         self.leader = None;
         self.lease = Lease::default();
     }
 
-    fn depose(&mut self, server: usize) {
+    fn clear_leader_if(&mut self, server: usize) {
         if self
             .leader
             .as_ref()
-            .is_some_and(|(id, _)| index(id) == server)
+            .is_some_and(|(id, _)| server_index(id) == server)
         {
-            self.revoke_leader();
+            self.clear_leader();
         }
     }
 
+    /// All registered servers but the known primary.
     fn others(&self) -> Vec<Registered> {
-        let mut entries = self.follower.entries();
+        let mut entries = self.view.entries();
         let leader = self.leader.as_ref().map(|(id, _)| id);
         entries.retain(|entry| Some(&entry.server.incarnation) != leader);
         entries
     }
 
-    fn counted(&self) -> Option<&[Incarnation]> {
-        self.follower
+    /// The servers that count for promotions, if a list of them is known.
+    fn voters(&self) -> Option<&[Incarnation]> {
+        self.view
             .recorded
             .as_ref()
-            .map(|noted| &noted.record.members[..])
+            .map(|stored| &stored.record.members[..])
     }
 
-    fn unregistered(&self) -> usize {
-        let entries = self.follower.entries();
-        let seen = |id: &&Incarnation| entries.iter().any(|e| e.server.incarnation == **id);
-        let counted = self.counted().unwrap_or_default();
-        counted.len() - counted.iter().filter(seen).count()
+    fn unregistered_voters(&self) -> usize {
+        let entries = self.view.entries();
+        let is_registered =
+            |id: &&Incarnation| entries.iter().any(|e| e.server.incarnation == **id);
+        let voters = self.voters().unwrap_or_default();
+        voters.len() - voters.iter().filter(is_registered).count()
     }
 
-    /// The servers besides a primary, those included that count and have vanished.
-    fn beside(&self, primary: &Incarnation) -> Vec<Incarnation> {
-        let entries = self.follower.entries();
+    /// All servers but `primary`, including those that count for promotions but are not registered.
+    fn other_servers(&self, primary: &Incarnation) -> Vec<Incarnation> {
+        let entries = self.view.entries();
         let registered = entries.iter().map(|entry| &entry.server.incarnation);
-        let all = registered.chain(self.counted().unwrap_or_default());
+        let all = registered.chain(self.voters().unwrap_or_default());
         all.filter(|id| *id != primary).cloned().collect()
     }
 
     fn others_count(&self) -> usize {
-        self.follower.entries().len().saturating_sub(1)
+        self.view.entries().len().saturating_sub(1)
     }
 
-    fn list(&self, now: u64) -> Membership {
-        let age = moment(now).since(moment(self.follower.followed));
-        match (self.counted().is_some(), age < LIST_VALIDITY) {
+    fn membership(&self, now: u64) -> Membership {
+        let age = moment(now).since(moment(self.view.synced_until));
+        match (self.voters().is_some(), age < LIST_VALIDITY) {
             (false, _) => Membership::Missing,
             (true, true) => Membership::Current,
             (true, false) => Membership::Stale,
         }
     }
 
-    fn vouches(&self, id: &Incarnation) -> bool {
-        let missing = self
-            .follower
+    fn counts_for_promotions(&self, id: &Incarnation) -> bool {
+        let is_missing = self
+            .view
             .entries()
             .iter()
             .any(|entry| entry.server.incarnation == *id && entry.missing_since.is_some());
-        !missing && self.counted().is_some_and(|ids| ids.contains(id))
+        !is_missing && self.voters().is_some_and(|ids| ids.contains(id))
     }
 
-    fn poll_of(&self, (asked, answered): (u64, u64), followers: usize) -> Poll {
+    fn poll_result(&self, (asked, answered): (u64, u64), followers: usize) -> Poll {
         Poll {
             asked: moment(asked),
             answered: moment(answered),
             followers,
             others: self.others_count(),
-            unregistered: self.unregistered(),
+            unregistered: self.unregistered_voters(),
             sync_replicas: SYNC_REPLICAS,
         }
     }
 
-    fn proves(&self, primary: &Incarnation, commit: &Commit, now: u64) -> bool {
-        let lease = self.leads(primary, commit).then_some(&self.lease);
-        commit.is_durable(lease, self.list(now), &self.beside(primary))
+    fn is_durable(&self, primary: &Incarnation, commit: &Commit, now: u64) -> bool {
+        let lease = self.is_leader(primary, commit).then_some(&self.lease);
+        commit.is_durable(lease, self.membership(now), &self.other_servers(primary))
     }
 
     /// Whether `primary` is known as the primary of the commit's term.
-    fn leads(&self, primary: &Incarnation, commit: &Commit) -> bool {
+    fn is_leader(&self, primary: &Incarnation, commit: &Commit) -> bool {
         let leader = self.leader.as_ref();
         leader.is_some_and(|(id, term)| id == primary && *term == commit.term())
     }
 
-    /// Begins a round of questions, each `apart` steps after the one before.
-    fn round(
+    /// Starts a round of status requests, sent `spacing` steps apart.
+    fn start_round(
         &self,
         cluster: &mut Cluster,
         servers: &[Registered],
-        apart: u64,
-        patience: u64,
+        spacing: u64,
+        timeout: u64,
     ) -> Round {
         let now = cluster.now;
         let mut open = Vec::new();
-        for (place, entry) in (0..).zip(servers) {
+        for (nth, entry) in (0..).zip(servers) {
             open.push((
-                cluster.tag(),
+                cluster.next_tag(),
                 entry.server.incarnation.clone(),
-                now + apart * place,
+                now + spacing * nth,
             ));
         }
         let mut round = Round {
             asked: now,
             open,
-            ends: now + patience,
+            deadline: now + timeout,
             ..Round::default()
         };
-        self.ask_due(cluster, &mut round);
+        self.send_due(cluster, &mut round);
         round
     }
 
-    /// Asks those whose turn it is.
-    fn ask_due(&self, cluster: &mut Cluster, round: &mut Round) {
-        let (node, now) = (self.follower.node, cluster.now);
+    /// Sends the requests of a round that are due at this step.
+    fn send_due(&self, cluster: &mut Cluster, round: &mut Round) {
+        let (node, now) = (self.view.node, cluster.now);
         for (tag, id, at) in &round.open {
             if *at == now {
-                cluster.ask(Asker { node, tag: *tag }, index(id), Order::Status);
+                cluster.send_command(
+                    Origin { node, tag: *tag },
+                    server_index(id),
+                    Command::Status,
+                );
             }
         }
     }
 
-    /// What a server says, unless it has started again since it was last heard.
-    fn same_life(&mut self, id: &Incarnation, said: Said) -> Option<Status> {
-        let Said::Status(status) = said else {
+    /// Returns a server's status, unless it was busy or has restarted since its last status.
+    fn check_status(&mut self, id: &Incarnation, body: Body) -> Option<Status> {
+        let Body::Status(status) = body else {
             return None;
         };
-        let before = self.last.get(id);
+        let before = self.last_statuses.get(id);
         if before.is_some_and(|before| takeover::has_restarted(before, &status)) {
             return None;
         }
-        self.last.insert(id.clone(), status);
+        self.last_statuses.insert(id.clone(), status);
         Some(status)
     }
 
-    fn hear(&mut self, cluster: &mut Cluster, answer: &Answer) {
-        let (tag, said) = (answer.to.tag, answer.said);
-        if let Some(id) = self.search.as_mut().and_then(|round| round.takes(tag)) {
-            let status = self.same_life(&id, said);
+    fn receive_answer(&mut self, cluster: &mut Cluster, answer: &Answer) {
+        let (tag, body) = (answer.to.tag, answer.body);
+        if let Some(id) = self
+            .search
+            .as_mut()
+            .and_then(|round| round.take_answer(tag))
+        {
+            let status = self.check_status(&id, body);
             if let (Some(round), Some(status)) = (&mut self.search, status) {
                 round.answers.push((id, status));
             }
-        } else if let Some(id) = self.poll.as_mut().and_then(|round| round.takes(tag)) {
-            self.hear_poll(cluster, &id, said);
+        } else if let Some(id) = self.poll.as_mut().and_then(|round| round.take_answer(tag)) {
+            self.receive_poll_answer(cluster, &id, body);
         } else {
-            self.hear_commit(cluster, tag, said);
+            self.receive_commit_answer(cluster, tag, body);
         }
     }
 
-    fn keep_search(&mut self, cluster: &mut Cluster) {
+    fn advance_search(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
         if let Some(round) = self.search.take() {
-            if now < round.ends && !round.open.is_empty() {
+            if now < round.deadline && !round.open.is_empty() {
                 self.search = Some(round);
                 return;
             }
-            self.searched = now;
-            self.adopt(cluster, &round.answers);
-        } else if self.leader.is_none() || now - self.searched >= SEARCH_EVERY {
-            let entries = self.follower.entries();
-            self.search = Some(self.round(cluster, &entries, 0, SEARCH_LIMIT));
+            self.last_search = now;
+            self.adopt_leader(cluster, &round.answers);
+        } else if self.leader.is_none() || now - self.last_search >= SEARCH_INTERVAL_STEPS {
+            let entries = self.view.entries();
+            self.search = Some(self.start_round(cluster, &entries, 0, SEARCH_TIMEOUT_STEPS));
         }
     }
 
-    fn adopt(&mut self, cluster: &mut Cluster, statuses: &[(Incarnation, Status)]) {
+    fn adopt_leader(&mut self, cluster: &mut Cluster, statuses: &[(Incarnation, Status)]) {
         let primaries = statuses
             .iter()
             .filter(|(_, status)| status.role == Role::Primary);
@@ -306,56 +328,57 @@
             return;
         }
         self.lease = Lease::default();
-        self.reads.led_anew(status.received);
+        self.reads.reset(status.received);
         self.leader = Some((id.clone(), status.term));
         let number = self.number;
-        cluster.note(|| format!("proxy {number} believes in {id}, term {}", status.term));
+        cluster.trace(|| format!("proxy {number} takes {id} as primary, term {}", status.term));
     }
 
-    fn keep_poll(&mut self, cluster: &mut Cluster) {
+    fn advance_poll(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
         if let Some(round) = self.poll.take() {
-            if now < round.ends && !round.open.is_empty() {
+            if now < round.deadline && !round.open.is_empty() {
                 self.poll = Some(round);
             } else {
                 self.lease
-                    .confirm(self.poll_of((round.asked, cluster.now), round.followers));
+                    .confirm(self.poll_result((round.asked, cluster.now), round.followers));
             }
-        } else if self.leader.is_some() && now - self.polled >= POLL_EVERY {
+        } else if self.leader.is_some() && now - self.last_poll >= POLL_INTERVAL_STEPS {
             let mut others = self.others();
             if self.lease.is_renewable(moment(now)) {
                 let first = cluster.draw(others.len().max(1) as u64) as usize;
                 others.rotate_left(first);
                 others.truncate(1);
             }
-            self.polled = now;
-            self.poll = Some(self.round(cluster, &others, 0, FIRST_ANSWER));
+            self.last_poll = now;
+            self.poll = Some(self.start_round(cluster, &others, 0, ROUND_TIMEOUT_STEPS));
         }
     }
 
-    fn hear_poll(&mut self, cluster: &mut Cluster, id: &Incarnation, said: Said) {
-        let (Some(status), Some((_, term))) = (self.same_life(id, said), self.leader.clone())
+    fn receive_poll_answer(&mut self, cluster: &mut Cluster, id: &Incarnation, body: Body) {
+        let (Some(status), Some((_, term))) = (self.check_status(id, body), self.leader.clone())
         else {
             return;
         };
         match freshness::relation(&status, term) {
             Relation::Supersedes => {
                 self.poll = None;
-                self.superseded(term, &status);
+                self.note_superseded(term, &status);
             }
             relation => {
                 if let Some(round) = &mut self.poll {
                     round.followers += usize::from(relation == Relation::Follows);
-                    round.ends = round.ends.min(cluster.now + LATE_ANSWER);
+                    round.deadline = round.deadline.min(cluster.now + LATE_ANSWER_GRACE_STEPS);
                 }
             }
         }
     }
 
-    fn superseded(&mut self, term: u64, status: &Status) {
+    /// Handles a status that shows a successor of the known primary, or a failover in progress.
+    fn note_superseded(&mut self, term: u64, status: &Status) {
         self.lease = Lease::default();
         if status.term > term {
-            self.revoke_leader();
+            self.clear_leader();
         }
     }
 }
--- a/crates/engine/tests/interleavings/proxy/durability.rs
+++ b/crates/engine/tests/interleavings/proxy/durability.rs
@@ -1,4 +1,4 @@
-//! How a proxy finds out that a commit is kept.
+//! Proves that acknowledged commits are durable, and confirms them to their callers.
 
 use dandelionpitch_engine::{
     commit::{Commit, Membership, Snapshot},
@@ -9,39 +9,40 @@
 use super::{
     super::{
         cluster::{moment, Cluster},
-        message::{Asker, Mail, Said},
-        scenario::STEP,
+        message::{Body, Message, Origin},
+        scenario::STEP_MS,
         server::Entry,
-        view::index,
+        view::server_index,
     },
-    Proxy, Round, FIRST_ANSWER, LATE_ANSWER, SYNC_REPLICAS,
+    Proxy, Round, LATE_ANSWER_GRACE_STEPS, ROUND_TIMEOUT_STEPS, SYNC_REPLICAS,
 };
 
-/// How long the nearest replica is waited for before the next is asked as well.
-const HEDGE: u64 = 2;
+/// How long a replica has to answer before the next one is asked as well.
+const HEDGE_DELAY_STEPS: u64 = 2;
 
-/// How long a caller waits for the proof.
-const PATIENCE: u64 = 3_000 / STEP;
+/// How long a caller waits for its commit to be confirmed.
+const CONFIRM_TIMEOUT_STEPS: u64 = 3_000 / STEP_MS;
 
-/// How long the store is waited for.
-const STORE_LIMIT: u64 = 1_000 / STEP;
+const STORE_TIMEOUT_STEPS: u64 = 1_000 / STEP_MS;
 
 pub enum Stage {
-    Pausing {
+    /// Waits for the next round.
+    Paused {
         until: u64,
     },
-    Asking(Round),
-    /// The store is asked; `obeyed` if a replica obeyed the primary, asked then.
-    Storing {
+    Polling(Round),
+    /// Waits for the group's record from the store. `followed` is the start of the preceding round,
+    /// if a replica in it followed the primary.
+    ReadingRecord {
         tag: u64,
-        obeyed: Option<u64>,
+        followed: Option<u64>,
         until: u64,
     },
-    /// Another commit's question to the store is waited for.
-    Joining,
+    /// Waits for the record that another commit has requested.
+    AwaitingOther,
 }
 
-/// A commit whose caller waits for the proof.
+/// A commit whose caller waits for its confirmation.
 pub struct Pending {
     entry: Entry,
     primary: Incarnation,
@@ -51,182 +52,191 @@
 }
 
 impl Proxy {
-    pub(super) fn acked(&mut self, cluster: &mut Cluster, server: usize, entry: Entry) {
-        // The connection is that to the server as it is known here.
-        let entries = self.follower.entries();
+    pub(super) fn receive_ack(&mut self, cluster: &mut Cluster, server: usize, entry: Entry) {
+        // The acknowledgement is attributed to the incarnation registered in this proxy's view.
+        let entries = self.view.entries();
         let known = entries
             .iter()
-            .find(|e| index(&e.server.incarnation) == server);
+            .find(|e| server_index(&e.server.incarnation) == server);
         let Some(known) = known else { return };
-        self.reads.position(entry.position());
+        self.reads.note_position(entry.position());
         self.pending.push(Pending {
             entry,
             primary: known.server.incarnation.clone(),
             commit: Commit::new(entry.position(), SYNC_REPLICAS),
-            until: cluster.now + PATIENCE,
-            stage: Stage::Pausing { until: cluster.now },
+            until: cluster.now + CONFIRM_TIMEOUT_STEPS,
+            stage: Stage::Paused { until: cluster.now },
         });
     }
 
-    /// What is due for a commit at this step.
-    pub(super) fn go_on(&mut self, cluster: &mut Cluster, mut pending: Pending) {
+    /// Performs whatever is due for a commit at this step.
+    pub(super) fn advance(&mut self, cluster: &mut Cluster, mut pending: Pending) {
         let now = cluster.now;
         if now >= pending.until {
-            if matches!(pending.stage, Stage::Storing { .. }) {
-                self.land();
+            if matches!(pending.stage, Stage::ReadingRecord { .. }) {
+                self.finish_record_read();
             }
             return;
         }
         match &mut pending.stage {
-            Stage::Pausing { until } if now >= *until => {
-                pending.stage = Stage::Asking(self.commit_round(cluster, &pending.primary));
+            Stage::Paused { until } if now >= *until => {
+                pending.stage = Stage::Polling(self.start_commit_round(cluster, &pending.primary));
             }
-            Stage::Asking(round) if now >= round.ends || round.open.is_empty() => {
-                let obeyed = (round.followers > 0).then_some(round.asked);
-                return self.round_ended(cluster, pending, obeyed);
+            Stage::Polling(round) if now >= round.deadline || round.open.is_empty() => {
+                let followed = (round.followers > 0).then_some(round.asked);
+                return self.finish_round(cluster, pending, followed);
             }
-            Stage::Asking(round) => self.ask_due(cluster, round),
-            Stage::Storing { until, .. } if now >= *until => {
-                self.land();
-                pending.stage = Stage::Pausing { until: now + 1 };
+            Stage::Polling(round) => self.send_due(cluster, round),
+            Stage::ReadingRecord { until, .. } if now >= *until => {
+                self.finish_record_read();
+                pending.stage = Stage::Paused { until: now + 1 };
             }
             _ => {}
         }
         self.pending.push(pending);
     }
 
-    fn commit_round(&self, cluster: &mut Cluster, primary: &Incarnation) -> Round {
+    fn start_commit_round(&self, cluster: &mut Cluster, primary: &Incarnation) -> Round {
         let now = cluster.now;
-        let mut replicas = self.follower.entries();
+        let mut replicas = self.view.entries();
         replicas.retain(|entry| entry.server.incarnation != *primary);
-        let hedge = match self.lease.excludes_promotion(moment(now))
-            && self.list(now) == Membership::Current
+        let spacing = match self.lease.excludes_promotion(moment(now))
+            && self.membership(now) == Membership::Current
         {
             true => {
-                replicas.retain(|entry| self.vouches(&entry.server.incarnation));
+                replicas.retain(|entry| self.counts_for_promotions(&entry.server.incarnation));
                 let first = cluster.draw(replicas.len().max(1) as u64) as usize;
                 replicas.rotate_left(first);
-                HEDGE
+                HEDGE_DELAY_STEPS
             }
             false => 0,
         };
-        self.round(cluster, &replicas, hedge, FIRST_ANSWER)
+        self.start_round(cluster, &replicas, spacing, ROUND_TIMEOUT_STEPS)
     }
 
-    pub(super) fn hear_commit(&mut self, cluster: &mut Cluster, tag: u64, said: Said) {
-        let asked_for = |pending: &Pending| match &pending.stage {
-            Stage::Asking(round) => round.open.iter().any(|(open, ..)| *open == tag),
+    pub(super) fn receive_commit_answer(&mut self, cluster: &mut Cluster, tag: u64, body: Body) {
+        let has_tag = |pending: &Pending| match &pending.stage {
+            Stage::Polling(round) => round.open.iter().any(|(open, ..)| *open == tag),
             _ => false,
         };
-        let Some(at) = self.pending.iter().position(asked_for) else {
+        let Some(at) = self.pending.iter().position(has_tag) else {
             return;
         };
         let mut pending = self.pending.remove(at);
-        let Stage::Asking(round) = &mut pending.stage else {
+        let Stage::Polling(round) = &mut pending.stage else {
             return;
         };
         let status = round
-            .takes(tag)
-            .and_then(|id| Some((self.same_life(&id, said)?, id)));
+            .take_answer(tag)
+            .and_then(|id| Some((self.check_status(&id, body)?, id)));
         if let Some((status, id)) = status {
             if let Some((_, term)) = self.leader {
                 match freshness::relation(&status, term) {
                     Relation::Follows => {
                         round.followers += 1;
                         self.lease
-                            .confirm(self.poll_of((round.asked, cluster.now), round.followers));
+                            .confirm(self.poll_result((round.asked, cluster.now), round.followers));
                     }
-                    Relation::Supersedes => self.superseded(term, &status),
+                    Relation::Supersedes => self.note_superseded(term, &status),
                     Relation::Unrelated => {}
                 }
             }
-            let vouches = self.vouches(&id);
+            let counts_for_promotions = self.counts_for_promotions(&id);
             pending
                 .commit
-                .note(&id, vouches, &status, moment(cluster.now));
-            if self.proves(&pending.primary, &pending.commit, cluster.now) {
-                return cluster.report(self.number, pending.entry, "lease or all");
+                .note(&id, counts_for_promotions, &status, moment(cluster.now));
+            if self.is_durable(&pending.primary, &pending.commit, cluster.now) {
+                return cluster.confirm_commit(
+                    self.number,
+                    pending.entry,
+                    "lease, or all servers have it",
+                );
             }
             if pending.commit.is_replicated() {
-                round.ends = round.ends.min(cluster.now + LATE_ANSWER);
+                round.deadline = round.deadline.min(cluster.now + LATE_ANSWER_GRACE_STEPS);
             }
         }
         self.pending.push(pending);
     }
 
-    fn round_ended(&mut self, cluster: &mut Cluster, mut pending: Pending, obeyed: Option<u64>) {
+    fn finish_round(&mut self, cluster: &mut Cluster, mut pending: Pending, followed: Option<u64>) {
         let now = cluster.now;
-        if self.proves(&pending.primary, &pending.commit, now) {
-            return cluster.report(self.number, pending.entry, "lease after the round");
+        if self.is_durable(&pending.primary, &pending.commit, now) {
+            return cluster.confirm_commit(self.number, pending.entry, "lease, after the round");
         }
-        pending.stage = match (pending.commit.is_replicated(), self.flying) {
-            (false, _) => Stage::Pausing { until: now + 1 },
-            (true, true) => Stage::Joining,
+        pending.stage = match (pending.commit.is_replicated(), self.is_reading_record) {
+            (false, _) => Stage::Paused { until: now + 1 },
+            (true, true) => Stage::AwaitingOther,
             (true, false) => {
-                self.flying = true;
-                let (tag, delay) = (cluster.tag(), cluster.draw(6));
-                let from = Asker {
-                    node: self.follower.node,
+                self.is_reading_record = true;
+                let (tag, delay) = (cluster.next_tag(), cluster.draw(6));
+                let from = Origin {
+                    node: self.view.node,
                     tag,
                 };
-                cluster.post(delay, Mail::Testify { from, asked: now });
-                Stage::Storing {
+                cluster.send(delay, Message::ReadRecord { from, asked: now });
+                Stage::ReadingRecord {
                     tag,
-                    obeyed,
-                    until: now + STORE_LIMIT,
+                    followed,
+                    until: now + STORE_TIMEOUT_STEPS,
                 }
             }
         };
         self.pending.push(pending);
     }
 
-    /// The question to the store has ended: those that waited for it look again.
-    fn land(&mut self) {
-        self.flying = false;
+    /// Ends the request to the store. Commits that waited for it start another round.
+    fn finish_record_read(&mut self) {
+        self.is_reading_record = false;
         for pending in &mut self.pending {
-            if matches!(pending.stage, Stage::Joining) {
-                pending.stage = Stage::Pausing { until: 0 };
+            if matches!(pending.stage, Stage::AwaitingOther) {
+                pending.stage = Stage::Paused { until: 0 };
             }
         }
     }
 
-    pub(super) fn testified(
+    pub(super) fn receive_record(
         &mut self,
         cluster: &mut Cluster,
-        to: Asker,
-        testimony: Option<&Snapshot>,
+        to: Origin,
+        snapshot: Option<&Snapshot>,
     ) {
-        let asked_for = |pending: &Pending| matches!(pending.stage, Stage::Storing { tag, .. } if tag == to.tag);
-        let Some(at) = self.pending.iter().position(asked_for) else {
+        let has_tag = |pending: &Pending| matches!(pending.stage, Stage::ReadingRecord { tag, .. } if tag == to.tag);
+        let Some(at) = self.pending.iter().position(has_tag) else {
             return;
         };
         let mut pending = self.pending.remove(at);
-        let Stage::Storing { obeyed, .. } = pending.stage else {
+        let Stage::ReadingRecord { followed, .. } = pending.stage else {
             return;
         };
-        let leads = self.leads(&pending.primary, &pending.commit);
-        let witnessed = leads
-            && testimony.is_some_and(|t| pending.commit.is_durable_by_record(t, &pending.primary));
-        if let (true, Some(obeyed)) = (witnessed, obeyed) {
-            self.lease.renew_from_record(moment(obeyed));
+        let is_leader = self.is_leader(&pending.primary, &pending.commit);
+        let is_proven = is_leader
+            && snapshot.is_some_and(|s| pending.commit.is_durable_by_record(s, &pending.primary));
+        if let (true, Some(followed)) = (is_proven, followed) {
+            self.lease.renew_from_record(moment(followed));
         }
-        pending.stage = Stage::Pausing {
+        pending.stage = Stage::Paused {
             until: cluster.now + 1,
         };
-        match witnessed {
-            true => cluster.report(self.number, pending.entry, "the store's word"),
+        match is_proven {
+            true => cluster.confirm_commit(self.number, pending.entry, "record in the store"),
             false => self.pending.push(pending),
         }
-        self.joined(cluster);
-        self.land();
+        self.confirm_waiting(cluster);
+        self.finish_record_read();
     }
 
-    /// Those that waited for the store's word to another commit go by the lease it gave.
-    fn joined(&mut self, cluster: &mut Cluster) {
+    /// Confirms commits that waited for another commit's record, if the lease renewed by it proves
+    /// them durable.
+    fn confirm_waiting(&mut self, cluster: &mut Cluster) {
         for pending in std::mem::take(&mut self.pending) {
-            let joins = matches!(pending.stage, Stage::Joining);
-            match joins && self.proves(&pending.primary, &pending.commit, cluster.now) {
-                true => cluster.report(self.number, pending.entry, "the lease of another's word"),
+            let is_waiting = matches!(pending.stage, Stage::AwaitingOther);
+            match is_waiting && self.is_durable(&pending.primary, &pending.commit, cluster.now) {
+                true => cluster.confirm_commit(
+                    self.number,
+                    pending.entry,
+                    "lease renewed for another commit",
+                ),
                 false => self.pending.push(pending),
             }
         }
--- a/crates/engine/tests/interleavings/proxy/reads.rs
+++ b/crates/engine/tests/interleavings/proxy/reads.rs
@@ -1,81 +1,81 @@
-//! Reads that must see every commit: they run on the known primary while its lease covers their arrival.
+//! Linearizable reads, which run on the known primary if its lease covers their arrival.
 
 use dandelionpitch_core::position::Position;
 
 use super::{
     super::{
         cluster::{moment, Cluster},
-        message::Mail,
+        message::Message,
         server::Entry,
-        view::index,
+        view::server_index,
     },
     Proxy,
 };
 
-/// How many steps are between two reads.
-const READ_EVERY: u64 = 4;
+const READ_INTERVAL_STEPS: u64 = 4;
 
-/// How many steps a read waits for the proof.
-const PATIENCE: u64 = 30;
+/// How long a read waits to be covered by the lease.
+const READ_TIMEOUT_STEPS: u64 = 30;
 
 /// The reads of one proxy.
 #[derive(Default)]
 pub struct Reads {
-    /// When those came that wait for the lease.
+    /// The arrival times of reads that wait for the lease.
     waiting: Vec<u64>,
-    /// The newest position that the known primary's log is known to have had.
+    /// The newest known position of the known primary's log.
     newest: Option<Position>,
 }
 
 impl Reads {
-    /// Another primary is known, whose log went up to `position` when it said that it leads.
-    pub fn led_anew(&mut self, position: Position) {
+    /// Starts over with a new primary, whose log ended at `position` when it reported its role.
+    pub fn reset(&mut self, position: Position) {
         self.newest = Some(position);
     }
 
-    /// Notes a position of the known primary's log.
-    pub fn position(&mut self, position: Position) {
+    pub fn note_position(&mut self, position: Position) {
         self.newest = self.newest.max(Some(position));
     }
 }
 
 impl Proxy {
-    /// Takes new reads and sends those that the lease covers.
-    pub(super) fn keep_reads(&mut self, cluster: &mut Cluster) {
+    /// Adds new reads, drops those that have timed out, and sends those that the lease covers.
+    pub(super) fn advance_reads(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
-        if now.is_multiple_of(READ_EVERY) {
+        if now.is_multiple_of(READ_INTERVAL_STEPS) {
             self.reads.waiting.push(now);
         }
-        self.reads.waiting.retain(|since| now - since < PATIENCE);
+        self.reads
+            .waiting
+            .retain(|arrived| now - arrived < READ_TIMEOUT_STEPS);
         let Some((leader, _)) = &self.leader else {
             return;
         };
-        let (proxy, server) = (self.number, index(leader));
-        let after = self.reads.newest.unwrap_or_default();
+        let (proxy, server) = (self.number, server_index(leader));
+        let required = self.reads.newest.unwrap_or_default();
         let lease = self.lease;
         let (covered, waiting) = self
             .reads
             .waiting
             .drain(..)
-            .partition(|since| lease.covers(moment(*since)));
+            .partition(|arrived| lease.covers(moment(*arrived)));
         self.reads.waiting = waiting;
         let covered: Vec<u64> = covered;
-        for since in covered {
+        for arrived in covered {
             let delay = cluster.draw(4);
-            cluster.post(
+            cluster.send(
                 delay,
-                Mail::Read {
+                Message::Read {
                     proxy,
                     server,
-                    since,
-                    after,
+                    arrived,
+                    required,
                 },
             );
         }
     }
 
-    /// Hands rows on, unless the server's log shows that it leads no more.
-    pub(super) fn rows(
+    /// Returns rows to the caller, unless the server's log shows that it no longer leads.
+    pub(super) fn receive_rows(
         &mut self,
         cluster: &mut Cluster,
         server: usize,
@@ -83,12 +83,12 @@
         missed: Option<Entry>,
     ) {
         let known = self.leader.clone();
-        if let Some((_, term)) = known.filter(|(id, _)| index(id) == server) {
+        if let Some((_, term)) = known.filter(|(id, _)| server_index(id) == server) {
             if position.term > term {
-                return self.depose(server);
+                return self.clear_leader_if(server);
             }
-            self.reads.position(position);
+            self.reads.note_position(position);
         }
-        cluster.hand(self.number, server, missed);
+        cluster.return_rows(self.number, server, missed);
     }
 }
--- a/crates/engine/tests/interleavings/server.rs
+++ b/crates/engine/tests/interleavings/server.rs
@@ -1,4 +1,4 @@
-//! A server of the group, as the platform's pages describe it.
+//! A simulated database server of the group.
 
 use dandelionpitch_core::position::Position;
 use dandelionpitch_engine::{
@@ -6,11 +6,11 @@
     takeover::Status,
 };
 
-/// An entry of a log. Its serial tells entries apart that stand at the same position.
+/// A log entry. `serial` distinguishes entries at the same position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub term: u64,
-    pub number: u64,
+    pub lsn: u64,
     pub serial: usize,
 }
 
@@ -18,23 +18,23 @@
     pub fn position(&self) -> Position {
         Position {
             term: self.term,
-            lsn: self.number,
+            lsn: self.lsn,
         }
     }
 }
 
-/// What a server is told.
+/// A command to a server. `Pause` and `StepDown` carry the term that supersedes the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Command {
     Status,
-    Hold(u64),
+    Pause(u64),
     Resume,
     StepDown(u64),
 }
 
-/// A commit that waits for a replica, and the proxy that waits for it.
+/// A commit that no replica has acknowledged yet, and the proxy that sent it.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting {
+pub struct Unacked {
     pub proxy: usize,
     pub entry: Entry,
 }
@@ -45,14 +45,14 @@
     pub role: Role,
     pub term: u64,
     pub log: Vec<Entry>,
+    /// The term for which it is held, or zero.
     pub held: u64,
-    pub up: bool,
+    pub is_up: bool,
     pub leaving: bool,
-    /// How often it has started: connections don't outlast it.
-    pub life: u64,
-    pub waiting: Vec<Waiting>,
-    /// Since when it has been in touch with a primary of this later term.
-    pub heard: Option<(u64, u64)>,
+    pub restarts: u64,
+    pub unacked: Vec<Unacked>,
+    /// A later term that it has learned of, and when it starts to follow that term's primary.
+    pub next_term: Option<(u64, u64)>,
 }
 
 impl Server {
@@ -64,31 +64,31 @@
             term: 1,
             log: Vec::new(),
             held: 0,
-            up: true,
+            is_up: true,
             leaving: false,
-            life: 0,
-            waiting: Vec::new(),
-            heard: None,
+            restarts: 0,
+            unacked: Vec::new(),
+            next_term: None,
         }
     }
 
-    pub fn leads(&self) -> bool {
-        self.up && self.role == Role::Primary
+    pub fn is_leading(&self) -> bool {
+        self.is_up && self.role == Role::Primary
     }
 
-    /// Whether its log has an entry: numbers go up from one.
-    pub fn has(&self, entry: &Entry) -> bool {
-        let at = entry.number as usize;
+    /// Whether its log contains an entry. Log positions start at one.
+    pub fn has_entry(&self, entry: &Entry) -> bool {
+        let at = entry.lsn as usize;
         self.log.get(at - 1) == Some(entry)
     }
 
-    pub fn status(&self, by_server: bool) -> Status {
+    pub fn status(&self, use_server_term: bool) -> Status {
         let last = self.log.last();
-        let term = match by_server {
+        let term = match use_server_term {
             true => self.term,
             false => last.map_or(1, |entry| entry.term),
         };
-        let lsn = last.map_or(0, |entry| entry.number);
+        let lsn = last.map_or(0, |entry| entry.lsn);
         Status {
             role: self.role,
             term: self.term,
@@ -97,43 +97,42 @@
         }
     }
 
-    /// Carries an order out.
-    pub fn obey(&mut self, order: Order) {
-        match order {
-            Order::Hold(term) if self.role == Role::Replica && term > self.term => {
+    pub fn execute(&mut self, command: Command) {
+        match command {
+            Command::Pause(term) if self.role == Role::Replica && term > self.term => {
                 self.held = self.held.max(term);
             }
-            Order::StepDown(term) if self.role == Role::Primary && term > self.term => {
+            Command::StepDown(term) if self.role == Role::Primary && term > self.term => {
                 self.step_down();
             }
-            Order::Resume => self.held = 0,
-            Order::Hold(_) | Order::StepDown(_) | Order::Status => {}
+            Command::Resume => self.held = 0,
+            Command::Pause(_) | Command::StepDown(_) | Command::Status => {}
         }
     }
 
     pub fn step_down(&mut self) {
         self.role = Role::Replica;
-        self.waiting.clear();
-        self.heard = None;
+        self.unacked.clear();
+        self.next_term = None;
     }
 
-    /// Starts again, with its log or without; a hold is forgotten either way.
-    pub fn start(&mut self, empty: bool) {
-        self.up = true;
-        self.life += 1;
+    /// Restarts, with its log or an empty one. A hold does not survive a restart.
+    pub fn restart(&mut self, loses_log: bool) {
+        self.is_up = true;
+        self.restarts += 1;
         self.held = 0;
-        self.heard = None;
-        self.waiting.clear();
-        if empty {
+        self.next_term = None;
+        self.unacked.clear();
+        if loses_log {
             self.log.clear();
             self.id.born += 1;
         }
     }
 
-    /// Receives what a primary has; a log that was ahead is rolled back.
-    pub fn follow(&mut self, primary: &Self) {
+    /// Copies the primary's log. Entries that the primary lacks are rolled back.
+    pub fn replicate_from(&mut self, primary: &Self) {
         let common = match self.log.last() {
-            Some(last) if primary.has(last) => self.log.len(),
+            Some(last) if primary.has_entry(last) => self.log.len(),
             _ => {
                 let same = self.log.iter().zip(&primary.log);
                 same.take_while(|(own, its)| own == its).count()
@@ -142,18 +141,18 @@
         self.log.truncate(common);
         self.log.extend_from_slice(&primary.log[common..]);
         self.term = primary.term;
-        self.heard = None;
+        self.next_term = None;
     }
 
-    /// Takes a commit and returns its entry.
-    pub fn commit(&mut self, proxy: usize, serial: usize) -> Entry {
+    /// Appends a commit of `proxy` to the log and returns its entry.
+    pub fn append(&mut self, proxy: usize, serial: usize) -> Entry {
         let entry = Entry {
             term: self.term,
-            number: self.log.last().map_or(0, |last| last.number) + 1,
+            lsn: self.log.last().map_or(0, |last| last.lsn) + 1,
             serial,
         };
         self.log.push(entry);
-        self.waiting.push(Waiting { proxy, entry });
+        self.unacked.push(Unacked { proxy, entry });
         entry
     }
 }
--- a/crates/engine/tests/interleavings/view.rs
+++ b/crates/engine/tests/interleavings/view.rs
@@ -1,4 +1,4 @@
-//! How a process follows the store: a view that may be old, with servers that are missed for a while.
+//! A process's view of the store, which may be out of date and keeps vanished servers for a while.
 
 use std::net::SocketAddr;
 
@@ -14,47 +14,47 @@
     scenario::{Node, STORE},
 };
 
-/// The name of the only group.
+/// The only group.
 const GROUP: &str = "group";
 
-/// A record and when its last promotion was first seen.
+/// The group's record, and when its last promotion was first seen.
 #[derive(Clone, Debug)]
-pub struct Noted {
+pub struct StoredRecord {
     pub revision: u64,
     pub record: Record,
-    pub promoted: u64,
+    pub promoted_at: u64,
 }
 
-pub struct Follower {
+pub struct View {
     pub node: Node,
     registry: Registry,
-    next: u64,
-    /// Up to when no change was missed.
-    pub followed: u64,
-    pub recorded: Option<Noted>,
-    /// The holder of the duty, as last seen.
-    pub duty: Option<(usize, u64)>,
+    next_sync: u64,
+    /// The view includes all changes up to this step.
+    pub synced_until: u64,
+    pub recorded: Option<StoredRecord>,
+    /// The failover leader and its fencing token, as last seen.
+    pub leadership: Option<(usize, u64)>,
 }
 
-impl Follower {
+impl View {
     pub fn new(node: Node) -> Self {
         Self {
             node,
             registry: Registry::default(),
-            next: 0,
-            followed: 0,
+            next_sync: 0,
+            synced_until: 0,
             recorded: None,
-            duty: None,
+            leadership: None,
         }
     }
 
-    /// Hears what the store holds if it is time to, from the store if that is in reach or from a proxy
-    /// that heard it earlier; returns whether it did.
-    pub fn step(&mut self, cluster: &mut Cluster) -> bool {
-        if cluster.now < self.next {
+    /// Updates the view if an update is due and the store or the relay answers; returns whether it
+    /// did.
+    pub fn sync(&mut self, cluster: &mut Cluster) -> bool {
+        if cluster.now < self.next_sync {
             return false;
         }
-        let Some((known, store)) = self.hear(cluster) else {
+        let Some((as_of, store)) = self.fetch(cluster) else {
             return false;
         };
         let now = moment(cluster.now);
@@ -68,46 +68,47 @@
             role: Role::Replica,
             leaving: *leaving,
         });
-        if cluster.now - self.followed > 40 {
+        if cluster.now - self.synced_until > 40 {
             self.registry.restart_expiry(now);
         }
         self.registry.replace(servers.collect(), now);
-        self.registry.expire(moment(known));
+        self.registry.expire(moment(as_of));
         if let Some((revision, record)) = store.record {
-            self.note(revision, record, cluster.now);
+            self.note_record(revision, record, cluster.now);
         }
-        self.duty = store.duty.map(|(holder, token, _)| (holder, token));
-        self.followed = known;
-        self.next = cluster.now + 1 + cluster.draw(20);
+        self.leadership = store.leadership.map(|(holder, token, _)| (holder, token));
+        self.synced_until = as_of;
+        self.next_sync = cluster.now + 1 + cluster.draw(20);
         true
     }
 
-    /// What the store holds, and as of when. What another proxy says is as old as it heard it, and may come though
-    /// the store itself is out of reach.
-    fn hear(&self, cluster: &Cluster) -> Option<(u64, Store)> {
-        let (heard, store) = &cluster.fed;
-        let fresh = cluster.now - heard <= steps(MAX_RELAY_AGE) && *heard >= self.followed;
-        let asks_peer = hash::stable_hash(&(cluster.now, self.node)).is_multiple_of(2);
-        match asks_peer && fresh {
-            true => Some((*heard, store.clone())),
+    /// The content of the store and the step as of which it is current. The relay's copy may be
+    /// older, but is available even while the store is unreachable.
+    fn fetch(&self, cluster: &Cluster) -> Option<(u64, Store)> {
+        let (read_at, store) = &cluster.relayed;
+        let is_fresh =
+            cluster.now - read_at <= steps(MAX_RELAY_AGE) && *read_at >= self.synced_until;
+        let use_relay = hash::stable_hash(&(cluster.now, self.node)).is_multiple_of(2);
+        match use_relay && is_fresh {
+            true => Some((*read_at, store.clone())),
             false => cluster
-                .reach(self.node, STORE)
+                .can_reach(self.node, STORE)
                 .then(|| (cluster.now, cluster.store.clone())),
         }
     }
 
-    /// Notes a record, unless a later one is known.
-    pub fn note(&mut self, revision: u64, record: Record, now: u64) {
-        let old = self.recorded.as_ref();
-        if old.is_some_and(|old| old.revision >= revision) {
+    /// Stores a record, unless a later revision is known.
+    pub fn note_record(&mut self, revision: u64, record: Record, now: u64) {
+        let before = self.recorded.as_ref();
+        if before.is_some_and(|before| before.revision >= revision) {
             return;
         }
-        let same = old.filter(|old| old.record.promotions == record.promotions);
-        let promoted = same.map_or(now, |old| old.promoted);
-        self.recorded = Some(Noted {
+        let same = before.filter(|before| before.record.promotions == record.promotions);
+        let promoted_at = same.map_or(now, |before| before.promoted_at);
+        self.recorded = Some(StoredRecord {
             revision,
             record,
-            promoted,
+            promoted_at,
         });
     }
 
@@ -116,8 +117,7 @@
     }
 }
 
-/// The index of a server.
-pub fn index(id: &Incarnation) -> usize {
+pub fn server_index(id: &Incarnation) -> usize {
     id.id[1..]
         .parse()
         .expect("the model names servers by number")
