--- a/crates/engine/tests/interleavings/attempt/promotion.rs
+++ b/crates/engine/tests/interleavings/attempt/promotion.rs
@@ -140,7 +140,7 @@
         None
     }
 
-    /// Waits for the answer to a call. If it is lost, rechecks the members and repeats the call.
+    /// Waits for the answer to a call. If none arrives, rechecks the members and calls again.
     pub(super) fn check_call(&mut self, ctx: &mut Context) -> Option<Completion> {
         let Stage::Calling {
             calls_left,
--- a/crates/engine/tests/interleavings/cluster.rs
+++ b/crates/engine/tests/interleavings/cluster.rs
@@ -309,13 +309,13 @@
         if !self.can_reach(from.node, STORE) {
             return;
         }
-        let is_leader = self.store.leadership.is_some_and(|(_, t, _)| t == token);
+        let has_leadership = self.store.leadership.is_some_and(|(_, t, _)| t == token);
         let current = self
             .store
             .record
             .as_ref()
             .map_or(0, |(revision, _)| *revision);
-        let revision = (is_leader && current == expected).then(|| {
+        let revision = (has_leadership && current == expected).then(|| {
             self.store.revision += 1;
             self.store.record = Some((self.store.revision, record.clone()));
             self.store.revision
--- a/crates/engine/tests/interleavings/coordinator.rs
+++ b/crates/engine/tests/interleavings/coordinator.rs
@@ -231,6 +231,7 @@
                 || record.promotions == 0
                 || elapsed >= steps(PROMOTION_COOLDOWN)
         });
+        // A `Resume` still in flight could release replicas that the attempt holds.
         let probes = group.probes.values_mut();
         let resumes_done = probes.filter_map(|probe| probe.cancel_resume().then_some(()));
         let resumes_done = resumes_done.count() == group.probes.len();
--- a/crates/engine/tests/interleavings/proxy.rs
+++ b/crates/engine/tests/interleavings/proxy.rs
@@ -345,6 +345,7 @@
             }
         } else if self.leader.is_some() && now - self.last_poll >= POLL_INTERVAL_STEPS {
             let mut others = self.others();
+            // One follower is enough to renew a lease, while a new lease needs all of them.
             if self.lease.is_renewable(moment(now)) {
                 let first = cluster.draw(others.len().max(1) as u64) as usize;
                 others.rotate_left(first);
--- a/crates/engine/tests/interleavings/proxy/durability.rs
+++ b/crates/engine/tests/interleavings/proxy/durability.rs
@@ -96,6 +96,8 @@
         self.pending.push(pending);
     }
 
+    /// Asks the replicas whether they have a commit. While the lease excludes a promotion, one that
+    /// counts for promotions suffices, so those are asked one after another, otherwise all at once.
     fn start_commit_round(&self, cluster: &mut Cluster, primary: &Incarnation) -> Round {
         let now = cluster.now;
         let mut replicas = self.view.entries();
--- a/crates/engine/tests/interleavings/scenario.rs
+++ b/crates/engine/tests/interleavings/scenario.rs
@@ -60,7 +60,7 @@
     pub injections: Vec<Injection>,
     /// The delays of messages and events, used cyclically.
     pub delays: Vec<u8>,
-    /// Whether the positions that a server reports have its current term, or that of its last log
+    /// Whether servers report positions with their current term, instead of that of their last log
     /// entry.
     pub use_server_term: bool,
     /// The number of steps between two commits through the same proxy.
