--- a/crates/ctl/src/burn.rs
+++ b/crates/ctl/src/burn.rs
@@ -11,9 +11,9 @@
 
 use crate::proxy::{self, Heartbeat};
 
-/// A metric in the response of a proxy's `GET /metrics`.
+/// One value of a metric, in the response to a proxy's `GET /metrics`.
 #[derive(Debug, Deserialize)]
-struct Metric {
+struct Sample {
     name: String,
     attributes: Vec<(String, String)>,
     value: f64,
@@ -38,13 +38,13 @@
 }
 
 impl Statements {
-    fn from_metrics(metrics: &[Metric]) -> Self {
+    fn from_samples(samples: &[Sample]) -> Self {
         let mut count = Self::default();
-        for metric in metrics.iter().filter(|metric| metric.name == "statements") {
-            count.total += metric.value;
+        for sample in samples.iter().filter(|sample| sample.name == "statements") {
+            count.total += sample.value;
             let failed = |(_, value): &(String, String)| value == "failed";
-            if metric.attributes.iter().any(failed) {
-                count.failed += metric.value;
+            if sample.attributes.iter().any(failed) {
+                count.failed += sample.value;
             }
         }
         count
@@ -124,8 +124,8 @@
 
 async fn counts(proxies: &[Heartbeat]) -> Vec<Option<Statements>> {
     let reads = proxies.iter().map(|proxy| async {
-        let metrics: Vec<Metric> = proxy::get(&proxy.operator, "/metrics").await.ok()?;
-        Some(Statements::from_metrics(&metrics))
+        let samples: Vec<Sample> = proxy::get(&proxy.operator, "/metrics").await.ok()?;
+        Some(Statements::from_samples(&samples))
     });
     futures::future::join_all(reads).await
 }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -22,7 +22,7 @@
         /// The bundle file (TOML).
         file: PathBuf,
     },
-    /// Replace the current bundle in the platform KV by one of a higher version.
+    /// Replace the current bundle in the platform KV with one of a higher version.
     Put {
         /// The bundle file (TOML).
         file: PathBuf,
@@ -39,8 +39,8 @@
         /// The percentage of statements that must succeed.
         #[arg(long, default_value_t = 99.9, value_parser = objective)]
         objective: f64,
-        /// The length of the second measurement window in seconds; the first one is since each
-        /// proxy's start.
+        /// The length in seconds of the measurement window, which starts now. Counts since the
+        /// start of each proxy are reported as well.
         #[arg(long, default_value_t = 10)]
         window: u64,
     },
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// The fields used of a proxy's `GET /status`.
+/// The part of the response to a proxy's `GET /status` that `dpctl status` uses.
 #[derive(Debug, Deserialize)]
 struct Report {
     bundle_version: u64,
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -1,5 +1,5 @@
-//! `dpctl trace`: extracts the lines of one request from the proxies' logs, with the preceding lines
-//! on the state of each proxy (`docs/OPERATIONS.md`).
+//! `dpctl trace`: extracts the lines of one request from the proxies' logs, with the preceding
+//! lines on the state of each proxy (`docs/OPERATIONS.md`).
 
 use std::{
     fs::File,
