--- a/crates/standin/src/group/state.rs
+++ b/crates/standin/src/group/state.rs
@@ -41,7 +41,8 @@
     created_at: Instant,
 }
 
-/// The role a server believes it has; more than one server may believe it is the primary.
+/// The role in which a server acts. A primary that has not learned of its successor still acts as
+/// primary, so there can be several.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Primary,
@@ -145,10 +146,10 @@
         if leader.role != Role::Primary || leader.term != position.term {
             return Progress::LeadershipLost;
         }
-        let holders = (0..self.servers.len())
+        let receivers = (0..self.servers.len())
             .filter(|&index| index != server && self.servers[index].has_entry(position))
             .count();
-        match holders >= self.sync_replicas {
+        match receivers >= self.sync_replicas {
             true => Progress::Complete,
             false => Progress::Pending,
         }
--- a/crates/standin/src/kv/store.rs
+++ b/crates/standin/src/kv/store.rs
@@ -97,7 +97,7 @@
             && self
                 .snapshots
                 .back()
-                .is_some_and(|c| c.taken_at.elapsed() < age)
+                .is_some_and(|last| last.taken_at.elapsed() < age)
         {
             self.snapshots.pop_back();
         }
--- a/crates/standin/src/line/connection.rs
+++ b/crates/standin/src/line/connection.rs
@@ -259,11 +259,11 @@
     async fn fetch(&mut self, item: &str) -> Outcome {
         sleep(STATEMENT_DURATION).await;
         let lag = self.shared.settings.lag;
-        let own = self
+        let uncommitted = self
             .transaction
             .iter()
             .flat_map(|open| open.writes.iter().rev());
-        let own = own
+        let uncommitted = uncommitted
             .into_iter()
             .find(|(key, _)| key == item)
             .map(|(_, data)| data.clone());
@@ -274,7 +274,7 @@
                 .collect();
             entries.last().map(|entry| entry.data.clone())
         });
-        let data = own.or(stored).unwrap_or_else(|| "-".to_owned());
+        let data = uncommitted.or(stored).unwrap_or_else(|| "-".to_owned());
         let mut rows = vec![data];
         rows.extend(
             self.session_variables
--- a/crates/standin/src/line/database.rs
+++ b/crates/standin/src/line/database.rs
@@ -13,7 +13,7 @@
 const INITIAL_START_MS: u64 = 1_700_000_000_000;
 
 /// An overloaded server runs one in this many control commands and statements, and rejects the
-/// others with `BUSY`. The ratio for control commands is higher, so that a failover process, which
+/// others with `BUSY`. The ratio for control commands is higher, so that the failover leader, which
 /// polls rarely, gets no status for a second, while callers, which retry constantly, are still
 /// served.
 const OVERLOADED_COMMAND_RATIO: usize = 16;
@@ -53,9 +53,9 @@
     pub draining: bool,
     /// Runs, but has no registration in the store.
     pub unregistered: bool,
-    /// Rejects all control commands and all statements that need a slot.
+    /// Rejects all control commands, reads, writes and commits.
     pub busy: bool,
-    /// Rejects most control commands and most statements that need a slot.
+    /// Rejects most control commands, reads, writes and commits.
     pub overloaded: bool,
 }
 
@@ -77,7 +77,7 @@
     pub log: Vec<Entry>,
     /// When this primary first reached a primary of a higher term.
     superseded_since: Option<Instant>,
-    /// Number of control commands and of statements that need a slot, rejected ones included.
+    /// Number of control commands and of reads, writes and commits, including rejected ones.
     commands: usize,
     statements: usize,
     pub connections: usize,
@@ -119,7 +119,7 @@
             || (self.fault.overloaded && !self.commands.is_multiple_of(OVERLOADED_COMMAND_RATIO))
     }
 
-    /// Counts a statement that needs a slot and returns whether a fault rejects it.
+    /// Counts a read, write or commit and returns whether a fault rejects it.
     pub fn rejects_statement(&mut self) -> bool {
         self.statements += 1;
         let overloaded =
@@ -345,8 +345,8 @@
     }
 }
 
-/// Whether a primary has a lower term than `later`, which it can reach, and has known so for
-/// `delay`. Records when it first reached the later primary.
+/// Whether `later` has a higher term than the primary `earlier`, which first reached such a primary
+/// at least `delay` ago. Records when it first did.
 fn steps_down(earlier: &mut Server, later: &Server, delay: Duration) -> bool {
     let superseded = earlier.term < later.term;
     superseded
--- a/crates/standin/src/line/http.rs
+++ b/crates/standin/src/line/http.rs
@@ -151,7 +151,7 @@
 }
 
 #[post("/v1/kv-lease", data = "<body>")]
-fn lease(shared: &State<Shared>, body: Json<Value>) -> Response {
+fn grant_lease(shared: &State<Shared>, body: Json<Value>) -> Response {
     let ttl = body["ttl_ms"].as_u64().unwrap_or(1_000);
     run_store_call(shared, |platform| {
         let lease = platform.store.grant(Duration::from_millis(ttl));
@@ -215,11 +215,11 @@
             )
         })
     };
-    let Some((index, started_at_ms, leads)) = found else {
+    let Some((index, started_at_ms, is_current_primary)) = found else {
         return Status::Conflict;
     };
     tokio::time::sleep(shared.settings.promote_call_duration).await;
-    if leads {
+    if is_current_primary {
         return Status::Ok;
     }
     log_event("promotion called", index, "");
@@ -303,7 +303,7 @@
                 range,
                 watch,
                 txn,
-                lease,
+                grant_lease,
                 renew_lease,
                 revoke_lease,
                 promote
--- a/crates/standin/src/line/test_api.rs
+++ b/crates/standin/src/line/test_api.rs
@@ -81,7 +81,7 @@
     })
 }
 
-/// Writes a server registration to the store, as another writer would.
+/// Writes a registration with any body to the store, whether or not there is such a server.
 #[put("/entry/<id>", data = "<body>")]
 fn registration(shared: &State<Shared>, id: &str, body: Vec<u8>) {
     shared.update(|platform| platform.store.put(&format!("servers/{id}"), body));
