--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -125,7 +125,7 @@
     })
 }
 
-/// The last log position applied to the server's table.
+/// The last log position that the server has applied.
 pub async fn position(client: &Client, limit: Duration) -> Result<Position, Error> {
     query_position(client, "SHOW dandelionpitch.position", limit).await
 }
@@ -135,8 +135,8 @@
 ///
 /// A partitioned primary still considers itself primary, but its position may be below writes
 /// that its successor acknowledged. The server therefore answers only after enough replicas have
-/// accepted it as their primary since the request arrived, and replicas that hold a later term do
-/// not accept it.
+/// accepted it as their primary since the request arrived, and replicas that have accepted a later
+/// term do not accept it.
 pub async fn barrier(client: &Client, limit: Duration) -> Result<Position, Error> {
     query_position(client, "SELECT dandelionpitch_barrier()", limit).await
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -128,8 +128,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Failover {
-    /// How long a primary must be unreachable for this proxy and the replicas before it is
-    /// replaced.
+    /// How long a quorum of replicas must not have heard from a primary before it is replaced.
     #[serde(with = "humantime_serde")]
     pub after: Duration,
     /// The maximum additional delay before a failover. Each proxy waits a different fraction of it,
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -61,7 +61,7 @@
     Members(Vec<Member>),
     /// A proxy joined (`present`) or left.
     Member { member: Member, present: bool },
-    /// The complete list of leaving servers.
+    /// The complete list of leaving servers, which are about to be stopped.
     Leaving(Vec<SocketAddr>),
     /// A server's status, or `None` if the server did not report it in time.
     Status {
@@ -169,7 +169,8 @@
 enum Change {
     /// Unchanged, or only positions and lags, which sessions read without a new [`View`].
     Unchanged,
-    /// A primary, the set of servers or proxies, or the bundle changed: a new [`View`] is published.
+    /// A primary, the set of servers or proxies, or the bundle changed, so a new [`View`] must be
+    /// published.
     Routing,
 }
 
--- a/crates/proxy/src/control/assignment.rs
+++ b/crates/proxy/src/control/assignment.rs
@@ -4,7 +4,7 @@
 //! If every proxy polled every server, the load would grow with proxies times servers
 //! (`docs/CAPACITY.md`). Each group therefore has a few watchers, chosen by rendezvous hashing
 //! over the live proxies: proxies with the same member list choose the same watchers, and a proxy
-//! that joins or leaves moves only its own groups.
+//! that joins or leaves changes the watchers of only those groups that it watches.
 
 use std::{
     cmp::Reverse,
@@ -15,7 +15,7 @@
 
 use super::{backoff, heartbeat};
 
-/// Leaves one watcher if one proxy has failed and another is partitioned.
+/// One watcher remains if one has failed and another is partitioned.
 pub const WATCHERS_PER_GROUP: usize = 3;
 
 /// How long a proxy that is missing from a full list still counts. Long enough for every live proxy
@@ -82,7 +82,7 @@
         !gone.is_empty()
     }
 
-    /// Adds a proxy. Does nothing but clear its missing timeout if it is present.
+    /// Adds a proxy. If it is already present, only clears its missing timeout.
     pub fn add(&mut self, member: Member) {
         self.missing.remove(&member);
         let dc = self.dcs.entry(member.dc.clone()).or_default();
@@ -103,8 +103,8 @@
         }
     }
 
-    /// The watchers of `group`: first the highest ranked proxy of each data centre, so that the loss
-    /// of a data centre leaves watchers in others, then the second ranked ones, and so on.
+    /// The watchers of `group`: first the highest ranked proxy of each data centre, so that the
+    /// loss of a data centre leaves watchers in others, then the second ranked ones, and so on.
     pub fn watchers(&self, group: &str) -> Vec<&Member> {
         let seed = backoff::stable_hash(&group);
         let best = self.dcs.values().map(|dc| top_ranked(dc, seed));
--- a/crates/proxy/src/control/decision.rs
+++ b/crates/proxy/src/control/decision.rs
@@ -19,8 +19,8 @@
     Failed,
     /// The primary is about to be stopped, and enough other servers can replace it.
     Leaving,
-    /// A failover stopped halfway: a later term than the primary's is claimed in the record, or
-    /// held by a server, which then accepts nothing from the primary.
+    /// A failover was not completed: a later term than the primary's is claimed in the record, or
+    /// has been accepted by a server, which then accepts nothing from the primary.
     StaleTerm,
     /// There is a primary, but the key-value store (KV) has no record of the group, or one of an
     /// earlier term, or a claim of this term without a server.
@@ -32,7 +32,8 @@
 pub struct Limits {
     /// How many servers must accept a new term.
     pub quorum: usize,
-    /// How long a quorum of replicas must not have heard from the primary before it counts as failed.
+    /// How long a quorum of replicas must not have heard from the primary before it counts as
+    /// failed.
     pub max_silence: Duration,
     /// How long after a promotion the replicas' silence is ignored.
     pub grace: Duration,
@@ -41,8 +42,8 @@
 /// Evaluates `group`, whose current primary was first seen at `leader_since`.
 ///
 /// A primary counts as failed only if a quorum of replicas report that they have not heard from it
-/// for `max_silence`, so a proxy that is itself partitioned from a healthy primary does not replace it.
-/// A primary that this proxy reaches but a quorum of replicas does not has failed as well: it
+/// for `max_silence`, so a proxy that is itself partitioned from a healthy primary does not replace
+/// it. Whether this proxy reaches the primary does not matter: without those replicas, the primary
 /// cannot commit.
 ///
 /// Statuses read before a promotion still report the silence of the old primary. They are ignored
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -39,10 +39,10 @@
     /// The KV failed.
     Kv(dandelionpitch_core::Error),
     /// Fewer servers than the quorum accepted the new term.
-    #[display("only {held} of {quorum} required servers accepted term {term}")]
+    #[display("only {confirmed} of {quorum} required servers accepted term {term}")]
     #[from(ignore)]
-    Quorum {
-        held: usize,
+    NoQuorum {
+        confirmed: usize,
         quorum: usize,
         term: u64,
     },
@@ -82,7 +82,8 @@
     leaving: Vec<SocketAddr>,
     /// The last seen log of each server.
     histories: Map<SocketAddr, History>,
-    /// The servers that count for the quorum, listed or not; the record names them.
+    /// The servers that count for the quorum, listed in the bundle or not; they are written to the
+    /// record.
     members: Vec<SocketAddr>,
     quorum: usize,
     /// The highest term in the record or on any server.
@@ -199,8 +200,8 @@
     /// A record that lacks a voter is written without delay: until then, a proxy that starts after
     /// the voter is removed from the bundle does not know of it.
     fn delay(&self, group: &str, decision: Decision, unrecorded_voter: bool) -> Duration {
-        let share = backoff::stable_fraction(&(&self.config.id, group));
-        let spread = self.config.failover.spread.mul_f64(share);
+        let fraction = backoff::stable_fraction(&(&self.config.id, group));
+        let spread = self.config.failover.spread.mul_f64(fraction);
         match decision {
             Decision::Healthy | Decision::Undecided | Decision::Failed | Decision::Leaving => {
                 spread
@@ -339,8 +340,8 @@
                 return Ok(fenced);
             }
         }
-        Err(Error::Quorum {
-            held: fenced.len(),
+        Err(Error::NoQuorum {
+            confirmed: fenced.len(),
             quorum: self.quorum,
             term,
         })
@@ -353,7 +354,8 @@
     }
 
     /// Promotes the most advanced of the fenced servers, among equals one that is not leaving. A
-    /// server removed from the bundle may alone have a commit: it leads until others have caught up.
+    /// server removed from the bundle may be the only one with a commit; it is then primary until
+    /// others have caught up.
     async fn promote(&self, term: u64, fenced: Vec<Fenced>) -> Result<SocketAddr, Error> {
         let best = fenced
             .into_iter()
--- a/crates/proxy/src/control/groups.rs
+++ b/crates/proxy/src/control/groups.rs
@@ -49,7 +49,7 @@
         self.assign()
     }
 
-    /// Starts to watch the groups assigned to this proxy and stops to watch all others.
+    /// Starts watching the groups assigned to this proxy and stops watching all others.
     pub(super) fn assign(&mut self) -> Change {
         let me = Member {
             dc: self.config.dc.clone(),
@@ -75,9 +75,9 @@
         Change::Routing
     }
 
-    /// Builds a group. Servers that were in `previous` keep their pools and statuses. Servers of
-    /// `previous` or the record that no group lists are kept as unlisted ones, as they may still
-    /// count for the promotion quorum.
+    /// Builds a group. Servers that were in `previous` keep their pools and statuses. Servers that
+    /// are in `previous` or named by the record but that no group lists are added as unlisted ones,
+    /// as they may still count for the promotion quorum.
     fn build(
         &self,
         group: &bundle::Group,
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Stores a primary record from the KV unless its revision is not newer, and polls the group's
-    /// servers immediately.
+    /// Stores a primary record from the KV if its revision is newer than that of the known one, and
+    /// polls the group's servers immediately.
     pub(super) fn apply_record(&mut self, group: String, stored: StoredRecord) -> Change {
         let known = self.records.get(&group);
         if known.is_some_and(|known| stored.revision <= known.revision) {
--- a/crates/proxy/src/control/heartbeat.rs
+++ b/crates/proxy/src/control/heartbeat.rs
@@ -15,7 +15,7 @@
 /// of the watchers expire, so the duration must leave time for it within the recovery objective.
 /// It also covers several renewals, so that one failed renewal does not lose the lease.
 pub const LEASE_TTL_SECS: u64 = 9;
-/// Each renewal is a read of the KV (`docs/CAPACITY.md`).
+/// Each renewal loads the KV like a read (`docs/CAPACITY.md`).
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -49,8 +49,8 @@
     record: &Record,
     lease: &mut Option<kv::Lease>,
 ) -> Result<(), Error> {
-    if let Some(held) = *lease {
-        if kv.keepalive(held).await? > 0 {
+    if let Some(current) = *lease {
+        if kv.keepalive(current).await? > 0 {
             return Ok(());
         }
         *lease = None;
--- a/crates/proxy/src/control/kv_watch.rs
+++ b/crates/proxy/src/control/kv_watch.rs
@@ -32,7 +32,7 @@
         match list_and_watch(&kv, &mut next, &mut era, &tx).await {
             Ok(()) => backoff.reset(),
             Err(error) => {
-                // The KV may have compacted the revisions missed meanwhile, so list everything again.
+                // The KV may have compacted the revisions missed meanwhile: list everything again.
                 next = None;
                 if backoff.failures() == 0 {
                     log::warn!(target: "control", "Could not read or watch the KV: {error}.");
@@ -63,7 +63,10 @@
                 let _ = tx.send(Message::Restored { era: now }).await;
             }
             // Sent before the bundle, so that a starting proxy does not begin to watch every group.
-            let members = current.iter().filter_map(|kv| member(&kv.key)).collect();
+            let members = current
+                .iter()
+                .filter_map(|kv| parse_member(&kv.key))
+                .collect();
             let _ = tx.send(Message::Members(members)).await;
             send(&current, tx).await;
             current
@@ -79,7 +82,7 @@
         let seen = events.iter().map(|event| event.kv.mod_revision + 1).max();
         for event in events {
             let present = event.kind == EventType::Put;
-            if let Some(member) = member(&event.kv.key) {
+            if let Some(member) = parse_member(&event.kv.key) {
                 let _ = tx.send(Message::Member { member, present }).await;
             } else if present {
                 send(&[event.kv], tx).await;
@@ -91,7 +94,7 @@
 }
 
 /// Returns the proxy that the key of a heartbeat record names, `None` for other keys.
-fn member(key: &str) -> Option<Member> {
+fn parse_member(key: &str) -> Option<Member> {
     let (dc, id) = keys::parse_proxy_key(key)?;
     Some(Member {
         dc: dc.to_owned(),
@@ -100,13 +103,13 @@
 }
 
 async fn send(values: &[KeyValue], tx: &mpsc::Sender<Message>) {
-    for message in values.iter().filter_map(message) {
+    for message in values.iter().filter_map(parse_message) {
         let _ = tx.send(message).await;
     }
 }
 
 /// Parses a bundle or primary record; logs a value that cannot be parsed.
-fn message(kv: &KeyValue) -> Option<Message> {
+fn parse_message(kv: &KeyValue) -> Option<Message> {
     let log_ignored = |error: &Error| log::error!(target: "control", "Ignored the invalid value of key {} in the KV: {error}.", kv.key);
     if let Some(group) = kv.key.strip_prefix(keys::PRIMARY_PREFIX) {
         let group = group.to_owned();
--- a/crates/proxy/src/control/voters.rs
+++ b/crates/proxy/src/control/voters.rs
@@ -25,7 +25,7 @@
     /// The origin of the [`Moment`]s passed to the roster.
     origin: Instant,
     roster: Roster,
-    /// The revision of the last applied record.
+    /// The revision of the last applied record, as a stamp (see [`era`]).
     revision: u64,
     /// The servers that the last applied record names.
     recorded: Vec<Incarnation>,
@@ -34,9 +34,10 @@
 
 /// The last seen log of the server at an address.
 ///
-/// A replica that alone has a commit may lose its log and restart empty, and must then not count
-/// for the quorum in place of the lost log. A different log, or one that became shorter within a
-/// term, therefore starts a new incarnation, and the earlier incarnation still counts.
+/// A replica that is the only one with a commit may lose its log and restart empty. If it then
+/// counted as the same server, it could complete a quorum without the commit. A different log, or
+/// one that became shorter within a term, therefore starts a new incarnation, and the earlier
+/// incarnation still counts.
 #[derive(Clone, Copy, Debug)]
 pub struct History {
     /// The number of times that the server is known to have lost its log.
@@ -74,8 +75,9 @@
         }
         let (listed, removed): (Vec<_>, Vec<_>) =
             group.servers.iter().partition(|server| server.listed);
-        // Before the roster update: after a pause of this process, the other servers may look as
-        // if they had everything that a removed server still in use has.
+        // Must precede the roster update. After a pause of this process, the update could otherwise
+        // conclude that the other servers have everything that a removed server has, although that
+        // server is still in use.
         for server in removed {
             if hears_from_primary(server, group, now) {
                 self.roster
@@ -90,9 +92,9 @@
         }
     }
 
-    /// Applies a newer record. A server that only the previous record names need not be counted any
-    /// more: each record is written by a proxy that has applied the one it replaces. This does not
-    /// hold across a restore of the KV from a backup, which can bring back an older record.
+    /// Applies a newer record. A server that only the previous record names no longer needs to be
+    /// counted: each record is written by a proxy that has applied the one it replaces. This is not
+    /// true across a restore of the KV from a backup, which can revert to an older record.
     fn apply_record(&mut self, stored: &view::StoredRecord, at: Moment) {
         if stored.revision <= self.revision {
             return;
@@ -124,8 +126,8 @@
         }
     }
 
-    /// The term and server of the group's record, if the record must be rewritten because it lacks a
-    /// voter or names a server that no longer counts.
+    /// The term and server of the group's record, if the record must be rewritten because it lacks
+    /// a voter or names a server that no longer counts.
     pub fn outdated_record(&self, group: &view::Group) -> Option<(u64, SocketAddr)> {
         let record = &group.stored.as_ref()?.record;
         let voters = self.addresses();
@@ -134,8 +136,8 @@
             .filter(|_| names_non_voter || self.record_lacks_voter(group))
     }
 
-    /// Whether the record lacks a voter. Until it is rewritten, a proxy that starts after that voter
-    /// was removed from the bundle does not know of it.
+    /// Whether the record lacks a voter. Until it is rewritten, a proxy that starts after that
+    /// voter was removed from the bundle does not know of it.
     pub fn record_lacks_voter(&self, group: &view::Group) -> bool {
         let Some(stored) = group
             .stored
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -93,8 +93,8 @@
 /// is not stopping. A proxy that loses its connection to the key-value store stays ready.
 #[get("/ready")]
 fn ready(context: &State<Context>) -> Status {
-    let runs_bundle = context.view.borrow().bundle.is_some();
-    match runs_bundle && !context.stopping.is_cancelled() {
+    let has_bundle = context.view.borrow().bundle.is_some();
+    match has_bundle && !context.stopping.is_cancelled() {
         true => Status::Ok,
         false => Status::ServiceUnavailable,
     }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,6 +1,6 @@
 //! Pools of backend connections, one per backend server.
 //!
-//! A server accepts few connections, so a caller holds one only for a statement or a transaction
+//! A server accepts few connections, so a caller uses one only for a statement or a transaction
 //! (see [`crate::session`]).
 
 use std::net::SocketAddr;
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -225,8 +225,8 @@
     Staleness,
 }
 
-/// Selects a replica whose last polled status is fresh, within `max_staleness` and meets
-/// `criterion`; `None` if there is none.
+/// Selects a replica that is within `max_staleness` and meets `criterion` according to its last
+/// polled status, which must be fresh; `None` if there is none.
 pub fn select_replica(
     group: &Group,
     criterion: Criterion,
--- a/crates/proxy/src/session/connection.rs
+++ b/crates/proxy/src/session/connection.rs
@@ -18,11 +18,12 @@
 /// Why a statement did not return a result.
 #[derive(Debug)]
 pub enum Failure {
-    /// The server is not the primary and did not run it.
+    /// The server is not the primary and did not run the statement.
     ReadOnly,
     /// The server returned an error.
     Server(Box<ErrorInfo>),
-    /// It may have run, since no conclusive answer was received; the connection is closed.
+    /// The statement may have run, since no conclusive answer was received; the connection is
+    /// closed.
     Lost(String),
 }
 
--- a/crates/proxy/src/session/read.rs
+++ b/crates/proxy/src/session/read.rs
@@ -57,8 +57,8 @@
         }
         let valid = |status: &Status| {
             let age = status.age(Instant::now());
-            let replica = status.role == Role::Replica;
-            replica && status.position.covers(floor) && age <= call.caller.max_staleness
+            let is_replica = status.role == Role::Replica;
+            is_replica && status.position.covers(floor) && age <= call.caller.max_staleness
         };
         for index in route::unwatched_candidates(group, Instant::now()) {
             let server = &group.servers[index];
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -41,9 +41,9 @@
     pub term: u64,
     /// Identifies the server's log. Changes when the server loses its log; zero if not reported.
     pub log_id: u64,
-    /// The last log position applied to the server's table.
+    /// The last log position that the server has applied.
     pub position: Position,
-    /// An upper bound on the staleness of the server's table at `read_at`.
+    /// An upper bound on the staleness of the server's data at `read_at`.
     pub lag: Duration,
     /// The time since the server last heard from a primary, at `read_at`.
     pub silence: Duration,
@@ -52,7 +52,7 @@
 }
 
 impl Status {
-    /// An upper bound on the staleness of the server's table at `now`.
+    /// An upper bound on the staleness of the server's data at `now`.
     pub fn age(&self, now: Instant) -> Duration {
         self.lag + now.duration_since(self.read_at)
     }
@@ -145,8 +145,8 @@
         self.0.lock().unwrap().leader
     }
 
-    /// Stores a server that reported itself as primary at `term`, unless that term or a later one is
-    /// already known.
+    /// Stores a server that reported itself as primary at `term`, unless that term or a later one
+    /// is already known.
     pub fn report(&self, server: SocketAddr, term: u64) {
         let leader = &mut self.0.lock().unwrap().leader;
         if leader.is_none_or(|(_, known)| known < term) {
@@ -170,10 +170,11 @@
 #[derive(Clone, Debug)]
 pub struct StoredRecord {
     pub record: Record,
-    /// The KV revision at which it was written.
+    /// The KV revision at which it was written, as a stamp (see [`dandelionpitch_core::era`]).
     pub revision: u64,
     pub seen_at: Instant,
-    /// The KV was restored from a backup taken before this record, which must be rewritten.
+    /// Whether the KV was restored from a backup since this record was read. The record is then
+    /// rewritten, unless the KV still has it or a later one.
     pub lost_in_restore: bool,
 }
 
@@ -205,7 +206,7 @@
     /// that the claimant is presumed to have failed, and the old primary may be used again. This is
     /// safe because fenced servers refuse writes of earlier terms themselves.
     pub claim_limit: Duration,
-    /// `None` while the KV has no record of this group.
+    /// `None` until a record of this group has been read from the KV.
     pub stored: Option<StoredRecord>,
     /// The KV has a record that cannot be parsed, which prevents any promotion.
     pub unreadable: bool,
@@ -239,8 +240,8 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether a server that reports itself as primary at `term` is accepted as such. The address of
-    /// an unlisted server may have been reused by another group, so the record must name it.
+    /// Whether a server that reports itself as primary at `term` is accepted as such. The address
+    /// of an unlisted server may have been reused by another group, so the record must name it.
     fn is_acceptable_leader(&self, index: usize, term: u64) -> bool {
         let server = &self.servers[index];
         let record = self.stored.as_ref().map(|stored| &stored.record);
