--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -137,7 +137,7 @@
     Ok(table)
 }
 
-/// Formats a table of the primary records; a group has one once it has had a failover.
+/// Formats a table of the groups' primary records.
 async fn primaries(kv: &kv::Client) -> Result<Vec<String>, String> {
     let records = kv.list(keys::PRIMARY_PREFIX).await;
     let records = records.map_err(|error| error.to_string())?;
--- a/crates/proxy/src/control/heartbeat.rs
+++ b/crates/proxy/src/control/heartbeat.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Renews the lease, or if it expired, acquires a new one and writes the record under it.
+/// Renews the lease. If there is none or it has expired, acquires a new one and writes the record
+/// under it.
 async fn renew(
     kv: &kv::Client,
     record: &Record,
