--- a/crates/proxy/src/control/heartbeat.rs
+++ b/crates/proxy/src/control/heartbeat.rs
@@ -17,7 +17,7 @@
 pub const LEASE_TTL_SECS: u64 = 9;
 /// Each renewal loads the KV like a read (`docs/CAPACITY.md`).
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
-const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The heartbeat record, read by `dpctl status`.
 #[derive(Debug, Serialize)]
@@ -36,7 +36,7 @@
             Ok(()) => RENEW_INTERVAL,
             Err(error) => {
                 log::warn!(target: "control", "Could not renew the heartbeat record: {error}.");
-                RETRY_INTERVAL
+                RETRY_DELAY
             }
         };
         tokio::time::sleep(pause).await;
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -48,7 +48,7 @@
 
 /// The delay before retrying a statement that did not run because there was no primary, no
 /// connection to it, or the server was no longer primary.
-const RETRY_INTERVAL: Duration = Duration::from_millis(10);
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// State and settings shared by all sessions.
 #[derive(Debug)]
--- a/crates/proxy/src/session/checkout.rs
+++ b/crates/proxy/src/session/checkout.rs
@@ -7,7 +7,7 @@
 use futures::future::join_all;
 use tokio_util::sync::CancellationToken;
 
-use super::{connection::Connection, refusal::Refusal, Call, Session, RETRY_INTERVAL};
+use super::{connection::Connection, refusal::Refusal, Call, Session, RETRY_DELAY};
 use crate::view::{Group, Role, Server, Status, View};
 
 impl Session {
@@ -102,7 +102,7 @@
             }
             self.find_primary(group, call).await;
             // Retry periodically: a connection may become available without a new view.
-            let next_try = send_deadline.min(Instant::now() + RETRY_INTERVAL);
+            let next_try = send_deadline.min(Instant::now() + RETRY_DELAY);
             let _ = tokio::time::timeout_at(next_try.into(), views.changed()).await;
         }
     }
--- a/crates/proxy/src/session/write.rs
+++ b/crates/proxy/src/session/write.rs
@@ -10,7 +10,7 @@
     checkout::group,
     connection::{Failure, Pipelined},
     refusal::Refusal,
-    Answer, Call, Pinned, Session, State, Transaction, RETRY_INTERVAL,
+    Answer, Call, Pinned, Session, State, Transaction, RETRY_DELAY,
 };
 use crate::route::{Analysis, Kind};
 
@@ -62,7 +62,7 @@
                 {
                     let view = self.shared.view.borrow().clone();
                     self.find_primary(group(&view, call.caller)?, call).await;
-                    tokio::time::sleep(RETRY_INTERVAL).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
                 Err(Failure::ReadOnly) => return Err(not_primary(call.analysis)),
             }
--- a/crates/standin/src/group/incarnation.rs
+++ b/crates/standin/src/group/incarnation.rs
@@ -65,8 +65,8 @@
 
 /// Handle to one incarnation of a server, held by tasks that must end with it.
 ///
-/// The incarnation is identified by the number of kills before it, so a task that first observes the
-/// state after a kill and a quick restart still ends.
+/// The incarnation is identified by the number of kills before it, so a task that first observes
+/// the state after a kill and a quick restart still ends.
 #[derive(Clone, Debug)]
 pub struct Incarnation {
     states: watch::Receiver<State>,
