--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// The fields used of a proxy's `GET /status`.
+/// The part of the response to a proxy's `GET /status` that `dpctl status` uses.
 #[derive(Debug, Deserialize)]
 struct Report {
     bundle_version: u64,
@@ -137,7 +137,7 @@
     Ok(table)
 }
 
-/// Formats a table of the primary records; a group has one once it has had a failover.
+/// Formats a table of the groups' primary records.
 async fn primaries(kv: &kv::Client) -> Result<Vec<String>, String> {
     let records = kv.list(keys::PRIMARY_PREFIX).await;
     let records = records.map_err(|error| error.to_string())?;
