--- a/crates/proxy/src/control/heartbeat.rs
+++ b/crates/proxy/src/control/heartbeat.rs
@@ -15,9 +15,9 @@
 /// of the watchers expire, so the duration must leave time for it within the recovery objective.
 /// It also covers several renewals, so that one failed renewal does not lose the lease.
 pub const LEASE_TTL_SECS: u64 = 9;
-/// Each renewal is a read of the KV (`docs/CAPACITY.md`).
+/// Each renewal loads the KV like a read (`docs/CAPACITY.md`).
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
-const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The heartbeat record, read by `dpctl status`.
 #[derive(Debug, Serialize)]
@@ -36,21 +36,22 @@
             Ok(()) => RENEW_INTERVAL,
             Err(error) => {
                 log::warn!(target: "control", "Could not renew the heartbeat record: {error}.");
-                RETRY_INTERVAL
+                RETRY_DELAY
             }
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Renews the lease, or if it expired, acquires a new one and writes the record under it.
+/// Renews the lease. If there is none or it has expired, acquires a new one and writes the record
+/// under it.
 async fn renew(
     kv: &kv::Client,
     record: &Record,
     lease: &mut Option<kv::Lease>,
 ) -> Result<(), Error> {
-    if let Some(held) = *lease {
-        if kv.keepalive(held).await? > 0 {
+    if let Some(current) = *lease {
+        if kv.keepalive(current).await? > 0 {
             return Ok(());
         }
         *lease = None;
