--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -156,6 +156,6 @@
 /// The result is a lower bound even if the relay or follower was suspended or the response was delayed:
 /// the relay responded `waited` after `asked` at the earliest, and both durations are measured by
 /// the relay's clock, which includes time in suspension.
-pub fn known_until(asked: Moment, waited: Duration, age: Duration) -> Moment {
+pub fn synced_until(asked: Moment, waited: Duration, age: Duration) -> Moment {
     asked + waited - age
 }
--- a/crates/engine/tests/feed.rs
+++ b/crates/engine/tests/feed.rs
@@ -156,7 +156,7 @@
 fn delayed_response_does_not_look_more_recent() {
     let asked = at(10_000);
 
-    let known = feed::known_until(asked, millis(1_000), millis(700));
+    let known = feed::synced_until(asked, millis(1_000), millis(700));
 
     assert_eq!(known, at(10_300));
 }
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -149,18 +149,18 @@
             .poll(&self.control.mirror, Request { after, wait })
             .await?;
         self.relay = Some(relay);
-        let known_until = feed::known_until(asked, answer.waited, answer.age);
-        let changed = self.apply(source, &answer.update, known_until);
+        let synced_until = feed::synced_until(asked, answer.waited, answer.age);
+        let changed = self.apply(source, &answer.update, synced_until);
         // The relay's response includes changes that are no longer available from the store.
         self.needs_list = false;
         Ok(changed)
     }
 
-    /// Applies an update that has all changes up to `known_until`; returns whether anything has changed.
-    fn apply(&self, source: &Source, update: &Update<Value>, known_until: Moment) -> bool {
+    /// Applies an update that has all changes up to `synced_until`; returns whether anything has changed.
+    fn apply(&self, source: &Source, update: &Update<Value>, synced_until: Moment) -> bool {
         let control = &self.control;
         let before = control.mirror.revision();
-        if !control.mirror.apply(source, update, known_until) {
+        if !control.mirror.apply(source, update, synced_until) {
             return false;
         }
         let restored = before != 0 && era::of(before) < era::of(update.revision);
@@ -193,10 +193,10 @@
             journal::dependency("store", "followed", "");
             control.registry.borrow_mut().restart_expiry(clock::now());
         }
-        let known_until = control.mirror.known_until();
-        control.expire(known_until);
-        control.registry.borrow_mut().note_synced(known_until);
-        records::note_synced(&control.synced_until_ms, known_until);
+        let synced_until = control.mirror.synced_until();
+        control.expire(synced_until);
+        control.registry.borrow_mut().note_synced(synced_until);
+        records::note_synced(&control.synced_until_ms, synced_until);
         if self.source.as_ref() != Some(source) {
             journal::write("source", json!({ "of_changes": format!("{source:?}") }));
             self.source = Some(source.clone());
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -274,9 +274,9 @@
     }
 
     /// Drops servers and proxies that have been missing for too long, and publishes the result. No change
-    /// of the store up to `known_until` was missed.
-    pub fn expire(&self, known_until: Moment) {
-        let expired = self.registry.borrow_mut().expire(known_until);
+    /// of the store up to `synced_until` was missed.
+    pub fn expire(&self, synced_until: Moment) {
+        let expired = self.registry.borrow_mut().expire(synced_until);
         let members = self.members.borrow_mut().count(clock::now());
         let peers = self.members.borrow().peers(clock::now());
         let view = self.publish.borrow().clone();
--- a/crates/proxy/src/line/mirror.rs
+++ b/crates/proxy/src/line/mirror.rs
@@ -45,7 +45,7 @@
     /// Earlier versions of large values, by key.
     history: Map<String, History>,
     /// The time up to which every change of the store has been applied.
-    known_until: Moment,
+    synced_until: Moment,
     /// The source of the last update, until it fails.
     source: Option<Source>,
 }
@@ -89,7 +89,7 @@
         let before = content.mirror.revision();
         content.record_history(update);
         let applied = content.mirror.apply(update);
-        content.known_until = content.known_until.max(known);
+        content.synced_until = content.synced_until.max(known);
         content.source = Some(source.clone());
         let changed = content.mirror.revision() != before;
         drop(content);
@@ -107,8 +107,8 @@
     }
 
     /// The time up to which every change of the store has been applied.
-    pub fn known_until(&self) -> Moment {
-        self.lock().known_until
+    pub fn synced_until(&self) -> Moment {
+        self.lock().synced_until
     }
 
     /// The revision that the mirror has reached.
@@ -119,7 +119,7 @@
     /// The state of the mirror, for operators.
     pub fn report(&self) -> Report {
         let content = self.lock();
-        let age = clock::now().since(content.known_until);
+        let age = clock::now().since(content.synced_until);
         let from = content.source.as_ref().map(|source| match source {
             Source::Store => "store".to_owned(),
             Source::Peer(id) => id.clone(),
@@ -158,7 +158,7 @@
         left: Duration,
     ) -> Option<Option<Response>> {
         let content = self.lock();
-        let age = clock::now().since(content.known_until);
+        let age = clock::now().since(content.synced_until);
         if content.source.is_none() || age > MAX_RELAY_AGE {
             return None;
         }
--- a/crates/proxy/src/line/traffic/autocommit.rs
+++ b/crates/proxy/src/line/traffic/autocommit.rs
@@ -19,7 +19,7 @@
         clock,
         group::{Group, Leader},
         traffic::{
-            call::{note_failure, Call, Failure, RETRY_AFTER, RETRY_PAUSE},
+            call::{note_failure, Call, Failure, RETRY_AFTER, RETRY_DELAY},
             exchange::{checkout, exchange, release_if_idle},
         },
     },
@@ -73,7 +73,7 @@
         if attempts.finish_round() || !call.may_retry(attempts.obstacle) {
             break;
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     Err(attempts.refusal(call))
 }
@@ -158,14 +158,14 @@
         if call.isolated || call.remaining() < call.route.timeout / 2 {
             return Err(call.busy("the primary is not proved to lead", RETRY_AFTER));
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 /// Returns the primary, searching for a limited time if it is unknown or leaving.
 pub async fn wait_for_leader(group: &Rc<Group>, call: &Call<'_>) -> Option<Leader> {
     loop {
-        let timeout = call.remaining_search_time().max(RETRY_PAUSE);
+        let timeout = call.remaining_search_time().max(RETRY_DELAY);
         // The search continues for other statements if this one stops waiting.
         if let Ok(Some(leader)) = tokio::time::timeout(timeout, group.leader()).await {
             if leader.backend.takes_work(clock::now()) {
@@ -175,7 +175,7 @@
         if !call.may_retry(Obstacle::NoServer) {
             return None;
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -203,7 +203,7 @@
     let latest = call.route.consistency == Consistency::Latest;
     if latest && !trusted {
         let why = "the server is no longer the primary";
-        return Err(Failure::NotRun(call.busy(why, RETRY_PAUSE)));
+        return Err(Failure::NotRun(call.busy(why, RETRY_DELAY)));
     }
     if answer.result.is_ok() {
         group.metrics.read(match group.is_leader(backend) {
@@ -267,7 +267,7 @@
                 if !call.may_retry(Obstacle::NoServer) {
                     break;
                 }
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             }
             Err(Failure::QueueFull(refusal) | Failure::Failed(refusal)) => return Err(refusal),
@@ -309,7 +309,7 @@
                     group.clear_leader(backend);
                 }
                 last = refusal;
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             Err(refusal) => {
                 note_failure(group, backend, call, &refusal.to_string());
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -26,7 +26,7 @@
 };
 
 /// The pause before a statement that was not run is tried again.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(15);
+pub const RETRY_DELAY: Duration = Duration::from_millis(15);
 
 /// The default retry-after of a refused statement: about the duration of a failover.
 pub const RETRY_AFTER: Duration = Duration::from_millis(500);
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -15,7 +15,7 @@
     clock,
     group::Group,
     peers::Peers,
-    traffic::call::{pool_failure, Call, Failure, RETRY_PAUSE},
+    traffic::call::{pool_failure, Call, Failure, RETRY_DELAY},
 };
 
 /// The server's VM is probed after this multiple of the server's mean latency without an answer.
@@ -89,7 +89,7 @@
     if !backend.takes_work(clock::now()) {
         checkout.release();
         let why = "the server is about to stop";
-        return Ok(Err(Failure::NotRun(call.busy(why, RETRY_PAUSE))));
+        return Ok(Err(Failure::NotRun(call.busy(why, RETRY_DELAY))));
     }
     let connection = checkout.connection();
     let why = tokio::select! {
@@ -104,7 +104,7 @@
     };
     // The statement was not sent yet.
     backend.avoid();
-    Ok(Err(Failure::NotRun(call.busy(&why, RETRY_PAUSE))))
+    Ok(Err(Failure::NotRun(call.busy(&why, RETRY_DELAY))))
 }
 
 /// Sends the statement and reads its answer. If there is no answer in time, or the server's VM is
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -25,7 +25,7 @@
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The pause before a statement that was not run is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(15);
+const RETRY_DELAY: Duration = Duration::from_millis(15);
 
 /// How often a statement is sent to a server that refuses it because of overload.
 const MAX_ATTEMPTS: usize = 5;
@@ -162,7 +162,7 @@
         note_failure(group, &current.backend, call, &refusal.to_string());
         let retryable = refusal.code == Code::Busy && answer.state == State::Open;
         if retryable && attempt < MAX_ATTEMPTS && call.remaining() > call.route.timeout / 3 {
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
         if refusal.code == Code::ReadOnly {
@@ -212,7 +212,7 @@
     transaction: Transaction,
     call: &Call<'_>,
 ) -> Result<Pinned, Refusal> {
-    let mut last = call.busy("no server is available for the transaction", RETRY_PAUSE);
+    let mut last = call.busy("no server is available for the transaction", RETRY_DELAY);
     let mut obstacle = Obstacle::NoServer;
     let needs_confirmation = call.isolated || group.is_leader_suspect();
     if needs_confirmation
@@ -228,7 +228,7 @@
                 let since = call.freshness_bound(transaction.started_at);
                 match group.required_position(since, session.floor()).await {
                     Some(floor) => Some(floor),
-                    None => return Err(call.busy("required log position is unknown", RETRY_PAUSE)),
+                    None => return Err(call.busy("required log position is unknown", RETRY_DELAY)),
                 }
             }
         };
@@ -238,7 +238,7 @@
             (false, true) => group.read_candidates(clock::now()),
             (false, false) => match autocommit::wait_for_leader(group, call).await {
                 Some(leader) => vec![leader.backend],
-                None => return Err(call.busy("no primary is known", RETRY_PAUSE)),
+                None => return Err(call.busy("no primary is known", RETRY_DELAY)),
             },
         };
         for backend in servers {
@@ -257,7 +257,7 @@
                     continue;
                 }
                 Err(Failure::NoAnswer(why)) => {
-                    last = call.busy(&why, RETRY_PAUSE);
+                    last = call.busy(&why, RETRY_DELAY);
                     continue;
                 }
             };
@@ -272,7 +272,7 @@
                     let trusted = group.note_position(&backend, asked, answer.position);
                     match answer.result {
                         Ok(_) if latest && !trusted => {
-                            last = call.busy("the server is no longer the primary", RETRY_PAUSE);
+                            last = call.busy("the server is no longer the primary", RETRY_DELAY);
                         }
                         Ok(_) if answer.state == State::Open => {
                             let term = group.leader_term(&backend);
@@ -283,7 +283,7 @@
                                 endpoint,
                             });
                         }
-                        Ok(_) => last = call.busy("the server opened no transaction", RETRY_PAUSE),
+                        Ok(_) => last = call.busy("the server opened no transaction", RETRY_DELAY),
                         Err(refusal) => {
                             note_failure(group, &backend, call, &refusal.to_string());
                             let lost_log = latest && refusal.code == Code::Lagging;
@@ -293,23 +293,23 @@
                             if answer.state == State::Idle {
                                 checkout.release();
                             }
-                            last = call.busy(&refusal.to_string(), RETRY_PAUSE);
+                            last = call.busy(&refusal.to_string(), RETRY_DELAY);
                         }
                     }
                 }
                 Ok(Err(error)) => {
                     backend.avoid();
-                    last = call.busy(&error.to_string(), RETRY_PAUSE);
+                    last = call.busy(&error.to_string(), RETRY_DELAY);
                 }
                 Err(_) => {
                     backend.avoid();
-                    last = call.busy("no answer in time", RETRY_PAUSE);
+                    last = call.busy("no answer in time", RETRY_DELAY);
                 }
             }
         }
         if !call.may_retry(obstacle) {
             return Err(last);
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
