--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -134,6 +134,7 @@
     /// The refusal of a commit whose outcome is unknown, as it is not known to be durable. Also logs
     /// and counts it.
     pub fn commit_unconfirmed(&self, group: &Group, backend: &Backend) -> Refusal {
+        // Also a metric label, which must not change.
         let why = "no replica that counts has the commit";
         note_failure(group, backend, self, why);
         Refusal::new(Code::Unknown, format!("outcome unknown: {why}"))
@@ -167,7 +168,8 @@
     note_failed_attempt(&group.metrics, backend, call, why);
 }
 
-/// Logs and counts a failed attempt to run a statement on a server or another proxy.
+/// Logs and counts a failed attempt to run a statement on a server or another proxy. The part of
+/// `why` before the first colon becomes a metric label, so it must not be reworded.
 pub fn note_failed_attempt(metrics: &Metrics, backend: &Backend, call: &Call<'_>, why: &str) {
     metrics.attempt(metric_label(why));
     journal::write(
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -126,6 +126,7 @@
     let timeout = (backend.latency() * TIMEOUT_LATENCY_FACTOR)
         .max(min_timeout)
         .min(call.remaining());
+    // The reasons are also metric labels, up to the first colon, and must not change.
     let result = {
         let sent = execute(checkout.connection(), call.statement(), condition);
         tokio::select! {
--- a/crates/proxy/src/line/traffic/forwarding.rs
+++ b/crates/proxy/src/line/traffic/forwarding.rs
@@ -232,6 +232,7 @@
             condition: Condition::Forwarded(&requirements),
         };
         let request = checkout.connection().link.query(begin);
+        // The reasons are also metric labels, up to the first colon, and must not change.
         let why = match tokio::time::timeout(BEGIN_TIMEOUT.min(call.remaining()), request).await {
             Ok(Ok(answer)) if answer.result.is_ok() && answer.state == State::Open => {
                 return Some(Pinned {
