--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -71,7 +71,7 @@
 pub struct Backend {
     pub server: Arc<Server>,
     pub pool: Rc<Pool>,
-    /// Its registration, which may be leaving or missing.
+    /// Its registration, and since when it is leaving or missing, if it is.
     entry: RefCell<Entry>,
     /// Whether it is on the list of servers that count for promotions.
     pub is_voter: Cell<bool>,
@@ -246,8 +246,8 @@
         self.is_down.set(false);
     }
 
-    /// Avoids the server, as it could not be reached, and requests a check whether this proxy's data
-    /// centre is partitioned.
+    /// Avoids the server, as it could not be reached, and requests a check of whether this proxy's
+    /// data centre is partitioned.
     pub fn note_unreachable(&self) {
         self.avoid();
         self.failure_signal.notify_one();
--- a/crates/proxy/src/line/control/attempt.rs
+++ b/crates/proxy/src/line/control/attempt.rs
@@ -185,10 +185,10 @@
         !current.iter().all(is_member)
     }
 
-    /// Holds all replicas and tells the old primary to step down, concurrently.
+    /// Holds all replicas and sends the old primary a step-down command, concurrently.
     ///
-    /// Once a quorum is held, waits only for members that answered their last status request, and not
-    /// for the old primary. Returns the old primary's probe if it has not answered by then.
+    /// Once a quorum is fenced, waits only for members that answered their last status request, and
+    /// not for the old primary. Returns the old primary's probe if it has not answered by then.
     async fn fence_members(&self, fence: &mut Fence) -> Option<Rc<Probe>> {
         let term = fence.term();
         let answers = self
@@ -245,7 +245,7 @@
         );
     }
 
-    /// Continues to tell the old primary to step down while the replicas are held.
+    /// Repeats the step-down command to the old primary while the replicas are held.
     ///
     /// A busy primary may refuse the command. If it remained primary after its replacement, commits on
     /// it would wait for replicas that no longer follow it.
@@ -258,17 +258,19 @@
         }
     }
 
-    /// Releases the held members after a failed attempt. Does nothing if this process is no longer the
-    /// failover leader, as the members may be held for the next leader's attempt.
+    /// Sends the fenced members a resume command after a failed attempt. Does nothing if this
+    /// process is no longer the failover leader, as the members may be held for the next leader's
+    /// attempt.
     async fn resume_replicas(&self, fenced: &[Fenced]) {
         if self.control.election.borrow().token(clock::now()).is_none() {
             return;
         }
-        let is_held = |probe: &&Rc<Probe>| fenced.iter().any(|f| f.id == probe.server.incarnation);
+        let is_fenced =
+            |probe: &&Rc<Probe>| fenced.iter().any(|f| f.id == probe.server.incarnation);
         let answers = self
             .probes
             .iter()
-            .filter(is_held)
+            .filter(is_fenced)
             .map(|probe| probe.send(Command::Resume, COMMAND_TIMEOUT));
         for answer in futures::future::join_all(answers).await {
             if let Err(error) = answer {
--- a/crates/proxy/src/line/control/election.rs
+++ b/crates/proxy/src/line/control/election.rs
@@ -52,7 +52,7 @@
                 break;
             }
         }
-        let pause = match step(&control, &mut lease).await {
+        let delay = match step(&control, &mut lease).await {
             Ok(()) if lease.is_some() => RENEW_INTERVAL,
             Ok(()) => CHECK_INTERVAL,
             Err(error) => {
@@ -63,8 +63,8 @@
         };
         let stopping = control.stopping.is_cancelled();
         tokio::select! {
-            () = tokio::time::sleep(pause.min(CHECK_INTERVAL)), if stopping => {}
-            () = tokio::time::sleep(pause), if !stopping => {}
+            () = tokio::time::sleep(delay.min(CHECK_INTERVAL)), if stopping => {}
+            () = tokio::time::sleep(delay), if !stopping => {}
             () = control.stopping.cancelled(), if !stopping => {}
         }
     }
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -156,7 +156,8 @@
         Ok(changed)
     }
 
-    /// Applies an update that has all changes up to `synced_until`; returns whether anything has changed.
+    /// Applies an update that has all changes up to `synced_until`; returns whether anything has
+    /// changed.
     fn apply(&self, source: &Source, update: &Update<Value>, synced_until: Moment) -> bool {
         let control = &self.control;
         let before = control.mirror.revision();
--- a/crates/proxy/src/line/control/heartbeat.rs
+++ b/crates/proxy/src/line/control/heartbeat.rs
@@ -36,7 +36,7 @@
         backoff::stable_hash(&control.name),
     );
     while !control.stopping.is_cancelled() {
-        let pause = match renew(&control, &mut lease).await {
+        let delay = match renew(&control, &mut lease).await {
             Ok(()) => {
                 backoff.reset();
                 RENEW_INTERVAL
@@ -48,7 +48,7 @@
             }
         };
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(delay) => {}
             () = control.stopping.cancelled() => {}
         }
     }
--- a/crates/proxy/src/line/control/record.rs
+++ b/crates/proxy/src/line/control/record.rs
@@ -14,7 +14,9 @@
 /// Why a failover attempt failed, or a record was not written.
 #[derive(Debug, Display)]
 pub enum Failure {
-    #[display("no server can be promoted safely: {fenced} of {quorum} required members are held")]
+    #[display(
+        "no server can be promoted safely: {fenced} of {quorum} required members are fenced"
+    )]
     NoCandidate { fenced: usize, quorum: usize },
     #[display("a server that is not held has registered")]
     MemberAdded,
@@ -63,8 +65,8 @@
 
     /// Merges `known`, the record from before a restore of the store, into this restored record.
     ///
-    /// The backup may predate a promotion, or the addition of a server that has confirmed commits since. So
-    /// the record with the later promotion is used, with the members of both.
+    /// The backup may predate a promotion, or the addition of a server that has confirmed commits
+    /// since. So the record with the later promotion is used, with the members of both.
     fn merge_known(mut self, known: &Self) -> Self {
         let known_members = known.members.iter();
         let missing = known_members.filter(|id| !self.members.contains(id));
@@ -134,8 +136,9 @@
         known.insert(service.to_owned(), stored);
     }
 
-    /// Notes that the store was restored from a backup and is now at the stamp `current`. A record that was
-    /// not read again since is missing from the store, so the next write has to create it.
+    /// Notes that the store was restored from a backup and is now at the revision `current`. A
+    /// record that has not been read since is missing from the store, so the next write has to
+    /// create it.
     pub fn note_store_restored(&mut self, current: u64) {
         if era::of(self.revision) < era::of(current) {
             self.revision = 0;
--- a/crates/proxy/src/line/control/record_lookup.rs
+++ b/crates/proxy/src/line/control/record_lookup.rs
@@ -15,17 +15,17 @@
     records::Request,
 };
 
-/// Serves inquiries until the process ends.
-pub async fn run(control: Rc<Control>, mut inquiries: mpsc::UnboundedReceiver<Request>) {
-    while let Some(inquiry) = inquiries.recv().await {
-        tokio::task::spawn_local(answer(control.clone(), inquiry));
+/// Serves requests until the process ends.
+pub async fn run(control: Rc<Control>, mut requests: mpsc::UnboundedReceiver<Request>) {
+    while let Some(request) = requests.recv().await {
+        tokio::task::spawn_local(answer(control.clone(), request));
     }
 }
 
-async fn answer(control: Rc<Control>, inquiry: Request) {
-    let snapshot = read_snapshot(&control, &inquiry.service).await;
+async fn answer(control: Rc<Control>, request: Request) {
+    let snapshot = read_snapshot(&control, &request.service).await;
     // The requester may have been cancelled.
-    let _ = inquiry.answer.send(snapshot);
+    let _ = request.answer.send(snapshot);
 }
 
 async fn read_snapshot(control: &Control, service: &str) -> Option<Snapshot> {
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -142,7 +142,7 @@
         let now = clock::now();
         let mut servers = Vec::new();
         let mut members = Vec::new();
-        let mut holder = None;
+        let mut leader = None;
         for event in events {
             let Event::Written(item) = event else {
                 continue;
@@ -153,7 +153,7 @@
                 Subject::Proxy(key) => {
                     if key == LEADER {
                         let name = String::from_utf8_lossy(&item.value).into_owned();
-                        holder = Some((name, item.revision));
+                        leader = Some((name, item.revision));
                     } else if let Some(id) = keys::member_id(key) {
                         members.push((id.to_owned(), self.decode_peer(id, &item.value)));
                     } else {
@@ -165,10 +165,10 @@
         }
         register(&mut self.registry.borrow_mut(), servers, now);
         self.members.borrow_mut().replace(members.into_iter(), now);
-        let holder = holder
+        let leader = leader
             .as_ref()
             .map(|(name, revision)| (name.as_str(), *revision));
-        self.election.borrow_mut().note_holder(holder);
+        self.election.borrow_mut().note_holder(leader);
         self.publish();
     }
 
@@ -273,14 +273,14 @@
         record::StoredRecord::insert_item(item, &mut self.records.borrow_mut(), now);
     }
 
-    /// Drops servers and proxies that have been missing for too long, and publishes the result. No change
-    /// of the store up to `synced_until` was missed.
+    /// Drops servers and proxies that have been missing for too long, and publishes the result. No
+    /// change of the store up to `synced_until` was missed.
     pub fn expire(&self, synced_until: Moment) {
         let expired = self.registry.borrow_mut().expire(synced_until);
-        let members = self.members.borrow_mut().count(clock::now());
+        let proxy_count = self.members.borrow_mut().count(clock::now());
         let peers = self.members.borrow().peers(clock::now());
         let view = self.publish.borrow().clone();
-        if (members, &peers) != (view.proxy_count, &view.peers) {
+        if (proxy_count, &peers) != (view.proxy_count, &view.peers) {
             self.publish();
         }
         if !expired.is_empty() {
@@ -342,9 +342,9 @@
             servers.insert(service.clone(), registry.servers_of(service));
         }
         let records = self.records.borrow();
-        let members_of = |(name, stored): (&String, &record::StoredRecord)| {
-            let members = stored.record.members.clone();
-            (name.clone(), members)
+        let voters_of = |(name, stored): (&String, &record::StoredRecord)| {
+            let voters = stored.record.members.clone();
+            (name.clone(), voters)
         };
         let now = clock::now();
         let mut members = self.members.borrow_mut();
@@ -357,7 +357,7 @@
         let mut view = View {
             catalog,
             servers,
-            voters: records.iter().map(members_of).collect(),
+            voters: records.iter().map(voters_of).collect(),
             proxy_count: count,
             peers,
             ownership: Map::default(),
--- a/crates/proxy/src/line/control/thread.rs
+++ b/crates/proxy/src/line/control/thread.rs
@@ -104,7 +104,7 @@
 
 fn run(
     control: Rc<Control>,
-    inquiries: mpsc::UnboundedReceiver<Request>,
+    requests: mpsc::UnboundedReceiver<Request>,
     endpoint: Endpoint,
     metrics_endpoint: Option<Endpoint>,
 ) {
@@ -117,7 +117,7 @@
         tokio::task::spawn_local(heartbeat::run(control.clone()));
         tokio::task::spawn_local(election::run(control.clone()));
         tokio::task::spawn_local(failover::run(control.clone()));
-        tokio::task::spawn_local(record_lookup::run(control.clone(), inquiries));
+        tokio::task::spawn_local(record_lookup::run(control.clone(), requests));
         if let Some(metrics_endpoint) = metrics_endpoint {
             tokio::task::spawn_local(serve_metrics(metrics_endpoint));
         }
--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -51,9 +51,9 @@
     lease: Cell<Lease>,
     sync_replicas: Cell<usize>,
     owned: Cell<bool>,
-    /// Whether this proxy has read its own registration from the store.
+    /// Whether this proxy has read its own entry from the store.
     is_announced: Cell<bool>,
-    /// Whether changed registrations call for a search for the leader.
+    /// Whether a search for the leader is due because registrations have changed.
     search_due: Cell<bool>,
     /// The servers that count for promotions, including unregistered ones; `None` until a failover
     /// leader has recorded them.
@@ -183,9 +183,10 @@
     /// Sets whether this proxy runs the group's statements on its own connections, and whether the
     /// other proxies know of this proxy.
     ///
-    /// Proxies that start together all take themselves for owners, and their status requests could
-    /// need more connections than the servers accept. So no search is started in the background before
-    /// this proxy has read its own registration from the store. Statements are served nevertheless.
+    /// Proxies that start together all consider themselves owners at first, and their status
+    /// requests could need more connections than the servers accept. So no search is started in the
+    /// background before this proxy has read its own entry from the store. Statements are served
+    /// nevertheless.
     pub fn set_owned(&self, owned: bool, is_announced: bool) {
         self.owned.set(owned);
         self.is_announced.set(is_announced);
--- a/crates/proxy/src/line/group/durability.rs
+++ b/crates/proxy/src/line/group/durability.rs
@@ -110,8 +110,8 @@
         if self.is_commit_durable(backend, commit) {
             return true;
         }
-        let followed = (followers >= self.sync_replicas.get()).then_some(asked);
-        commit.is_replicated() && self.confirm_by_record(backend, commit, followed).await
+        let followed_at = (followers >= self.sync_replicas.get()).then_some(asked);
+        commit.is_replicated() && self.confirm_by_record(backend, commit, followed_at).await
     }
 
     /// Asks the replicas whether they have the commit: [`HEDGE_DELAY`] apart if the lease makes
@@ -161,8 +161,8 @@
         followers
     }
 
-    /// Applies a replica's status to the leader's lease, and returns whether the replica follows the
-    /// leader. If so, it is the `followers`th follower among the replicas asked at `asked`.
+    /// Applies a replica's status to the leader's lease, and returns whether the replica follows
+    /// the leader. If so, it is follower number `followers` in the poll sent at `asked`.
     fn note_status(
         &self,
         replica: &Rc<Backend>,
@@ -186,9 +186,10 @@
         }
     }
 
-    /// Reads the group's record from the store and returns whether it proves that the commit is durable.
-    /// If enough replicas followed the primary when asked at `followed`, the record also starts or renews
-    /// the lease. Concurrent commits share one read and are then proved by the lease.
+    /// Reads the group's record from the store and returns whether it proves that the commit is
+    /// durable. If enough replicas followed the primary in a poll sent at `followed_at`, the record
+    /// also starts or renews the lease. Concurrent commits share one read and are then proved by
+    /// the lease.
     ///
     /// While a replica is unreachable, a lease that has expired cannot start again from answers alone.
     /// Without the record, every commit would then have an unknown outcome until the replica is back or
@@ -197,7 +198,7 @@
         self: &Rc<Self>,
         backend: &Rc<Backend>,
         commit: &Commit,
-        followed: Option<Moment>,
+        followed_at: Option<Moment>,
     ) -> bool {
         if !self.record_read.try_start() {
             self.record_read.finished.notified().await;
@@ -215,9 +216,9 @@
             json!({ "service": self.name, "server": leader, "promoted": record.promoted,
                 "kept": durable }),
         );
-        if let (true, Some(followed)) = (durable, followed) {
+        if let (true, Some(followed_at)) = (durable, followed_at) {
             let mut lease = self.lease.get();
-            lease.renew_from_record(followed);
+            lease.renew_from_record(followed_at);
             self.lease.set(lease);
         }
         durable
--- a/crates/proxy/src/line/mirror.rs
+++ b/crates/proxy/src/line/mirror.rs
@@ -82,14 +82,14 @@
 }
 
 impl Handle {
-    /// Applies an update from `source` that holds every change up to `known`. Returns whether it was
-    /// applied; see [`Mirror::apply`].
-    pub fn apply(&self, source: &Source, update: &Update<Value>, known: Moment) -> bool {
+    /// Applies an update from `source` that has every change up to `synced_until`. Returns whether
+    /// it was applied; see [`Mirror::apply`].
+    pub fn apply(&self, source: &Source, update: &Update<Value>, synced_until: Moment) -> bool {
         let mut content = self.lock();
         let before = content.mirror.revision();
         content.record_history(update);
         let applied = content.mirror.apply(update);
-        content.synced_until = content.synced_until.max(known);
+        content.synced_until = content.synced_until.max(synced_until);
         content.source = Some(source.clone());
         let changed = content.mirror.revision() != before;
         drop(content);
--- a/crates/proxy/src/line/operator.rs
+++ b/crates/proxy/src/line/operator.rs
@@ -2,8 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use dandelionpitch_engine::isolation::Isolation;
-use dandelionpitch_engine::ownership::Plan;
+use dandelionpitch_engine::{isolation::Isolation, ownership::Plan};
 use rocket::{get, http::Status, routes, serde::json::Json, State};
 use serde::Serialize;
 use tokio::sync::{oneshot, watch};
--- a/crates/proxy/src/line/records.rs
+++ b/crates/proxy/src/line/records.rs
@@ -12,10 +12,11 @@
 use dandelionpitch_engine::{commit::Snapshot, roster::LIST_VALIDITY, time::Moment};
 use tokio::sync::{mpsc, oneshot};
 
-/// A request for a group's record.
+/// A request for a snapshot of a group's record.
 pub struct Request {
     pub service: String,
-    /// `None` if the store did not answer or has no record.
+    /// Receives `None` if the store did not answer, or has no valid record that was written since
+    /// the store's last restore.
     pub answer: oneshot::Sender<Option<Snapshot>>,
 }
 
@@ -54,14 +55,14 @@
 }
 
 impl Reader {
-    /// Whether the lists of servers that count for promotions are still valid in the view: the view
-    /// is at most [`LIST_VALIDITY`] behind the store.
+    /// Whether the view's lists of servers that count for promotions are still valid: the view is
+    /// less than [`LIST_VALIDITY`] behind the store.
     pub fn are_current(&self, now: Moment) -> bool {
         let synced_until = Duration::from_millis(self.synced_until_ms.load(Ordering::Relaxed));
         now.since(Moment::from_boot(synced_until)) < LIST_VALIDITY
     }
 
-    /// Reads a group's record from the store; `None` if the store does not answer or has no record.
+    /// Requests a snapshot of a group's record from the store; `None` as in [`Request::answer`].
     pub async fn snapshot(&self, service: &str) -> Option<Snapshot> {
         let (answer, response) = oneshot::channel();
         let service = service.to_owned();
--- a/crates/proxy/src/line/restart.rs
+++ b/crates/proxy/src/line/restart.rs
@@ -9,8 +9,8 @@
 
 use crate::line::clock;
 
-/// Returns `status`, which was requested at `asked` and has just arrived, if it may come from the
-/// registered incarnation of `server`.
+/// Returns `status`, which was requested at `asked` and has just arrived, if it may come from
+/// `server`, the registered incarnation.
 ///
 /// # Errors
 /// The status shows that the server has restarted and lost its log.
--- a/crates/proxy/src/line/traffic/call.rs
+++ b/crates/proxy/src/line/traffic/call.rs
@@ -25,7 +25,7 @@
     metrics::Metrics,
 };
 
-/// The pause before a statement that was not run is tried again.
+/// The delay before a statement that was not run is tried again.
 pub const RETRY_DELAY: Duration = Duration::from_millis(15);
 
 /// The default retry-after of a refused statement: about the duration of a failover.
@@ -116,7 +116,7 @@
     pub fn freshness_bound(&self, start: Moment) -> Moment {
         match self.route.consistency {
             Consistency::Latest => start,
-            Consistency::Bounded(allowance) | Consistency::Session(allowance) => start - allowance,
+            Consistency::Bounded(bound) | Consistency::Session(bound) => start - bound,
         }
     }
 
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -110,8 +110,9 @@
 /// Sends the statement and reads its answer. If there is no answer in time, or the server's VM is
 /// unreachable, closes the connection and returns the reason.
 ///
-/// The timeout is usually shorter than that of the route. Answers that a server loses would otherwise
-/// block its few connections, and a transaction could not be repeated within its caller's deadline.
+/// The timeout is usually shorter than that of the route. Otherwise a statement whose answer is
+/// lost would occupy one of the server's few connections for longer, and a transaction could not be
+/// repeated within its caller's deadline.
 pub async fn exchange(
     mut checkout: Checkout,
     backend: &Backend,
--- a/crates/proxy/src/line/traffic/session.rs
+++ b/crates/proxy/src/line/traffic/session.rs
@@ -313,7 +313,8 @@
                 Outcome::NoOwner => log_no_owner(&call),
             }
         }
-        // Also if no owner can be reached: in a partition this proxy may still reach the servers.
+        // If no owner can be reached, the statement runs here: in a partition this proxy may still
+        // reach the servers.
         let group = self.shared.group(&route.service);
         let (state, pinned) = (&mut self.state, &mut self.pinned);
         let result = match idle {
--- a/crates/proxy/src/line/traffic/transaction.rs
+++ b/crates/proxy/src/line/traffic/transaction.rs
@@ -24,7 +24,7 @@
 /// The timeout of a rollback, after which the connection is closed instead.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The pause before a statement that was not run is sent again.
+/// The delay before a statement that was not run is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(15);
 
 /// How often a statement is sent to a server that refuses it because of overload.
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -227,12 +227,12 @@
     let (during_burst, later) = local
         .run_until(async {
             let owner = peers.forwarding_targets(GROUP).expect("owners").remove(0);
-            let mut lent = Vec::new();
+            let mut burst = Vec::new();
             for _ in 0..10 {
-                lent.push(checkout(&owner).await);
+                burst.push(checkout(&owner).await);
             }
             let during_burst = owner.pool.open_connections();
-            lent.into_iter().for_each(Checkout::release);
+            burst.into_iter().for_each(Checkout::release);
             for _ in 0..2 {
                 peers.close_spare_connections();
                 checkout(&owner).await.release();
@@ -258,8 +258,8 @@
         .run_until(async {
             let owner = peers.forwarding_targets(GROUP).expect("owners").remove(0);
             let checkouts = (0..100).map(|_| tokio::time::timeout(BURST_TIMEOUT, checkout(&owner)));
-            let lent = futures::future::join_all(checkouts).await;
-            assert!(lent.iter().any(Result::is_err));
+            let results = futures::future::join_all(checkouts).await;
+            assert!(results.iter().any(Result::is_err));
             owner.pool.open_connections()
         })
         .await;
@@ -277,8 +277,8 @@
         due: deadline,
     };
     let request = Request { rank, deadline };
-    let lent = peer.pool.checkout(&Variables::default(), request).await;
-    lent.unwrap_or_else(|error| panic!("no connection: {error:?}"))
+    let result = peer.pool.checkout(&Variables::default(), request).await;
+    result.unwrap_or_else(|error| panic!("no connection: {error:?}"))
 }
 
 /// Guards against treating a busy owner as unreachable: its kernel accepts the connection at once, and
@@ -301,9 +301,9 @@
     let open = local
         .run_until(async {
             let owner = peers.forwarding_targets(GROUP).expect("owners").remove(0);
-            let lent = checkout(&owner).await;
+            let in_use = checkout(&owner).await;
             let open = owner.pool.open_connections();
-            lent.release();
+            in_use.release();
             open
         })
         .await;
