--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -145,7 +145,7 @@
         *self.entry.borrow_mut() = entry.clone();
     }
 
-    /// Whether it may be given new statements.
+    /// Whether it accepts new statements.
     pub fn takes_work(&self, now: Moment) -> bool {
         self.entry.borrow().takes_work(now)
     }
--- a/crates/proxy/src/line/control/attempt.rs
+++ b/crates/proxy/src/line/control/attempt.rs
@@ -305,7 +305,7 @@
     }
 
     fn next_record(&self, token: u64, server: &str) -> Record {
-        let known = self
+        let promotions = self
             .recorded
             .as_ref()
             .map_or(0, |stored| stored.record.promotions);
@@ -313,7 +313,7 @@
             holder: self.control.name.clone(),
             token,
             server: server.to_owned(),
-            promotions: known + 1,
+            promotions: promotions + 1,
             members: self.roster.ids(),
         }
     }
--- a/crates/proxy/src/line/control/failover.rs
+++ b/crates/proxy/src/line/control/failover.rs
@@ -219,8 +219,8 @@
         let Some(stored) = records.get(service) else {
             return;
         };
-        let known = self.recorded.as_ref().map(|known| known.revision);
-        if known != Some(stored.revision) {
+        let known_revision = self.recorded.as_ref().map(|recorded| recorded.revision);
+        if known_revision != Some(stored.revision) {
             self.roster.merge(&stored.record.members, now);
             self.recorded = Some(stored.clone());
         }
@@ -245,8 +245,8 @@
     /// Writes the roster to the store if it has changed, or if its record predates the last restore.
     fn save_roster(self: &Rc<Self>, control: &Rc<Control>, service: &str, group: &mut Group) {
         let members = group.roster.ids();
-        let known = group.recorded.clone();
-        let is_saved = known.as_ref().is_some_and(|stored| {
+        let recorded = group.recorded.clone();
+        let is_saved = recorded.as_ref().is_some_and(|stored| {
             stored.record.members == members && stored.record.is_in_era_of(stored.revision)
         });
         let Some(token) = control.election.borrow().token(clock::now()) else {
@@ -261,13 +261,15 @@
             let record = Record {
                 holder: control.name.clone(),
                 token,
-                server: known
+                server: recorded
                     .as_ref()
-                    .map_or(String::new(), |n| n.record.server.clone()),
-                promotions: known.as_ref().map_or(0, |n| n.record.promotions),
+                    .map_or(String::new(), |stored| stored.record.server.clone()),
+                promotions: recorded
+                    .as_ref()
+                    .map_or(0, |stored| stored.record.promotions),
                 members,
             };
-            let revision = known.map(|stored| stored.revision);
+            let revision = recorded.map(|stored| stored.revision);
             if let Err(failure) = write_record(&control, &service, &record, revision).await {
                 journal::trouble("roster", &failure.to_string());
                 tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -65,8 +65,8 @@
     let store = control.store();
     let key = format!("{RECORD_PREFIX}{service}");
     let read = async {
-        let own = store.get(LEADER).await?;
-        match own.is_some_and(|item| item.revision == token) {
+        let leader = store.get(LEADER).await?;
+        match leader.is_some_and(|item| item.revision == token) {
             true => store.get(&key).await.map(Some),
             false => Ok(None),
         }
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -326,9 +326,9 @@
             dc: &self.dc,
             service: name,
         };
-        let known = before.ownership.get(name);
-        let plan = match known.filter(|known| known.allocation == allocation) {
-            Some(known) => ownership::replan(&known.plan, change, &now.peers, query, allocation),
+        let prior = before.ownership.get(name);
+        let plan = match prior.filter(|prior| prior.allocation == allocation) {
+            Some(prior) => ownership::replan(&prior.plan, change, &now.peers, query, allocation),
             None => ownership::plan(&now.peers, &self.id, &self.dc, name, allocation),
         };
         Ownership { allocation, plan }
--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -1,9 +1,8 @@
 //! A database group as the traffic thread sees it: its servers, the known leader, and the log
-//! positions that reads must see.
+//! positions that a server must have reached to run a read.
 //!
-//! Servers are asked only when a statement needs the answer, or after the list of servers has
-//! changed. The engine's [`freshness`](dandelionpitch_engine::freshness) decides what the answers
-//! prove.
+//! Statuses are requested only when a statement needs them, or after the list of servers has
+//! changed. The engine's [`freshness`](dandelionpitch_engine::freshness) decides what they prove.
 
 mod durability;
 mod freshness;
@@ -287,8 +286,8 @@
         self.pending_watermark.set(None);
     }
 
-    /// The servers that may run a read, in order of preference. Servers that are leaving, missing or
-    /// did not answer a moment ago come last, and servers that no longer accept work are excluded.
+    /// The servers that may run a read, in order of preference. Servers that are leaving, missing
+    /// or failed to answer recently come last, and servers that no longer accept work are excluded.
     pub fn read_candidates(&self, now: Moment) -> Vec<Rc<Backend>> {
         let mut servers = self.servers();
         servers.retain(|backend| backend.takes_work(now));
--- a/crates/proxy/src/line/group/durability.rs
+++ b/crates/proxy/src/line/group/durability.rs
@@ -124,13 +124,13 @@
     ) -> usize {
         let mut replicas = self.servers();
         replicas.retain(|replica| !Rc::ptr_eq(replica, backend));
-        let voting = replicas
+        let voter_count = replicas
             .iter()
             .filter(|replica| replica.counts_for_promotions())
             .count();
         let lease_suffices =
             self.lease.get().excludes_promotion(asked) && self.membership() == Membership::Current;
-        let spacing = match lease_suffices && voting >= self.sync_replicas.get() {
+        let spacing = match lease_suffices && voter_count >= self.sync_replicas.get() {
             true => {
                 replicas.retain(|replica| replica.counts_for_promotions());
                 replicas.sort_by_key(|replica| {
--- a/crates/proxy/src/line/peers.rs
+++ b/crates/proxy/src/line/peers.rs
@@ -30,7 +30,9 @@
 /// The other proxies.
 #[derive(Default)]
 pub struct Peers {
-    known: RefCell<Map<String, Rc<Backend>>>,
+    /// The live proxies except this one, by id.
+    backends: RefCell<Map<String, Rc<Backend>>>,
+    /// The forwarding plan of each group.
     plans: RefCell<Map<String, Plan>>,
     /// Incremented with each choice, to spread the load over equal proxies.
     rotation: Cell<usize>,
@@ -51,9 +53,9 @@
         let plans = plans.map(|(name, ownership)| (name.clone(), ownership.plan.clone()));
         *self.plans.borrow_mut() = plans.collect();
         let peers = &view.peers;
-        let mut known = self.known.borrow_mut();
+        let mut backends = self.backends.borrow_mut();
         let live: Set<&str> = peers.iter().map(|peer| peer.id.as_str()).collect();
-        known.retain(|id, backend| {
+        backends.retain(|id, backend| {
             let is_live = live.contains(id.as_str());
             if !is_live {
                 backend.pool.close();
@@ -61,9 +63,9 @@
             is_live
         });
         for peer in peers.iter().filter(|peer| peer.id != own) {
-            let same = |known: &Rc<Backend>| known.server.address == peer.address;
-            if !known.get(&peer.id).is_some_and(same) {
-                known.insert(peer.id.clone(), new_backend(peer, metrics));
+            let same = |backend: &Rc<Backend>| backend.server.address == peer.address;
+            if !backends.get(&peer.id).is_some_and(same) {
+                backends.insert(peer.id.clone(), new_backend(peer, metrics));
             }
         }
     }
@@ -81,11 +83,11 @@
             return;
         }
         self.checked_at.set(now);
-        let known = self.known.borrow();
+        let backends = self.backends.borrow();
         let owners = self
             .target_ids()
             .into_iter()
-            .filter_map(|id| known.get(&id).cloned());
+            .filter_map(|id| backends.get(&id).cloned());
         owners
             .take(MAX_CHECKED)
             .for_each(|owner| owner.probe_in_background());
@@ -108,8 +110,8 @@
     /// Closes idle connections that a burst of statements has left behind. Those of hundreds of proxies
     /// would use up the file descriptors of an owner's VM.
     pub fn close_spare_connections(&self) {
-        let known = self.known.borrow();
-        known
+        let backends = self.backends.borrow();
+        backends
             .values()
             .for_each(|peer| peer.pool.shrink(MAX_IDLE_CONNECTIONS));
     }
@@ -121,8 +123,8 @@
 
     /// Up to `limit` proxies of other data centres. Successive calls start at different ones.
     pub fn in_other_dcs(&self, dc: &str, limit: usize) -> Vec<Rc<Backend>> {
-        let known = self.known.borrow();
-        let mut remote: Vec<_> = known.values().filter(|p| p.server.dc != dc).collect();
+        let backends = self.backends.borrow();
+        let mut remote: Vec<_> = backends.values().filter(|p| p.server.dc != dc).collect();
         let rotation = self.rotation.get();
         self.rotation.set(rotation.wrapping_add(1));
         remote.sort_unstable_by_key(|peer| peer.server.address);
@@ -131,9 +133,10 @@
         remote.into_iter().take(limit).cloned().collect()
     }
 
-    /// The proxies to which a statement of the group is forwarded, in order of preference; `None` if this
-    /// proxy runs it. Owners in this data centre take turns. Proxies that failed a moment ago come last,
-    /// and unreachable ones are left out unless all are unreachable.
+    /// The proxies to which a statement of the group is forwarded, in order of preference; `None`
+    /// if this proxy runs it. Successive calls start with different owners of this data centre.
+    /// Proxies that failed recently come last, and unreachable ones are left out unless all are
+    /// unreachable.
     pub fn forwarding_targets(&self, name: &str) -> Option<Vec<Rc<Backend>>> {
         let plans = self.plans.borrow();
         let Some(Plan::Forward { local, fallback }) = plans.get(name) else {
@@ -145,10 +148,10 @@
         let count = ids.len().max(1);
         ids.rotate_left(rotation % count);
         ids.extend(fallback);
-        let known = self.known.borrow();
+        let backends = self.backends.borrow();
         let mut peers: Vec<Rc<Backend>> = ids
             .iter()
-            .filter_map(|id| known.get(*id).cloned())
+            .filter_map(|id| backends.get(*id).cloned())
             .collect();
         let now = clock::now();
         if peers.iter().any(|peer| !peer.is_down()) {
--- a/crates/proxy/src/line/traffic/feed.rs
+++ b/crates/proxy/src/line/traffic/feed.rs
@@ -9,8 +9,9 @@
 
 use crate::line::{journal, mirror::Handle};
 
-/// The maximum size of a response. A proxy that has missed more reads it from the store: sending it to
-/// dozens of proxies at once would saturate this VM's network link for longer than they wait.
+/// The maximum size of a response. A proxy that is further behind reads the store instead: larger
+/// responses to dozens of proxies at once would saturate this VM's network link for longer than the
+/// proxies wait.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// Appends the response to a request for changes. `ready` is the state of the connection.
--- a/crates/proxy/src/line/view.rs
+++ b/crates/proxy/src/line/view.rs
@@ -19,7 +19,7 @@
     /// The servers of each group that count for promotions, for the groups for which a failover
     /// leader has recorded them.
     pub voters: Map<String, Vec<Incarnation>>,
-    /// How many proxies share the servers, including this one and those that disappeared a moment ago.
+    /// How many proxies share the servers, including this one and those that went missing recently.
     pub proxy_count: usize,
     /// The live proxies, to which statements can be forwarded.
     pub peers: Vec<Peer>,
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -171,10 +171,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let connections = Arc::new(AtomicUsize::default());
-    let counted = connections.clone();
+    let counter = connections.clone();
     std::thread::spawn(move || {
         while listener.accept().is_ok() {
-            counted.fetch_add(1, Ordering::Relaxed);
+            counter.fetch_add(1, Ordering::Relaxed);
         }
     });
     (peer(&format!("far-{index}"), address), connections)
