--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -1,9 +1,8 @@
 //! A database group as the traffic thread sees it: its servers, the known leader, and the log
-//! positions that reads must see.
+//! positions that a server must have reached to run a read.
 //!
-//! Servers are asked only when a statement needs the answer, or after the list of servers has
-//! changed. The engine's [`freshness`](dandelionpitch_engine::freshness) decides what the answers
-//! prove.
+//! Statuses are requested only when a statement needs them, or after the list of servers has
+//! changed. The engine's [`freshness`](dandelionpitch_engine::freshness) decides what they prove.
 
 mod durability;
 mod freshness;
@@ -51,9 +50,9 @@
     lease: Cell<Lease>,
     sync_replicas: Cell<usize>,
     owned: Cell<bool>,
-    /// Whether this proxy has read its own registration from the store.
+    /// Whether this proxy has read its own entry from the store.
     is_announced: Cell<bool>,
-    /// Whether changed registrations call for a search for the leader.
+    /// Whether a search for the leader is due because registrations have changed.
     search_due: Cell<bool>,
     /// The servers that count for promotions, including unregistered ones; `None` until a failover
     /// leader has recorded them.
@@ -183,9 +182,10 @@
     /// Sets whether this proxy runs the group's statements on its own connections, and whether the
     /// other proxies know of this proxy.
     ///
-    /// Proxies that start together all take themselves for owners, and their status requests could
-    /// need more connections than the servers accept. So no search is started in the background before
-    /// this proxy has read its own registration from the store. Statements are served nevertheless.
+    /// Proxies that start together all consider themselves owners at first, and their status
+    /// requests could need more connections than the servers accept. So no search is started in the
+    /// background before this proxy has read its own entry from the store. Statements are served
+    /// nevertheless.
     pub fn set_owned(&self, owned: bool, is_announced: bool) {
         self.owned.set(owned);
         self.is_announced.set(is_announced);
@@ -286,8 +286,8 @@
         self.pending_watermark.set(None);
     }
 
-    /// The servers that may run a read, in order of preference. Servers that are leaving, missing or
-    /// did not answer a moment ago come last, and servers that no longer accept work are excluded.
+    /// The servers that may run a read, in order of preference. Servers that are leaving, missing
+    /// or failed to answer recently come last, and servers that no longer accept work are excluded.
     pub fn read_candidates(&self, now: Moment) -> Vec<Rc<Backend>> {
         let mut servers = self.servers();
         servers.retain(|backend| backend.takes_work(now));
