--- a/crates/engine/src/election.rs
+++ b/crates/engine/src/election.rs
@@ -63,7 +63,7 @@
 impl Election {
     /// Records the leader's name and its key's stamp as read from the store, or the key's absence.
     /// A key at another stamp than this process's token ends its leadership.
-    pub fn note_holder(&mut self, holder: Option<(&str, u64)>) {
+    pub fn note_leader(&mut self, holder: Option<(&str, u64)>) {
         let revision = holder.map(|(_, revision)| revision);
         if self.token.is_some() && self.token != revision {
             self.token = None;
--- a/crates/engine/tests/control.rs
+++ b/crates/engine/tests/control.rs
@@ -159,7 +159,7 @@
     election.note_renewal(at(0));
     election.note_won("a", 7);
 
-    election.note_holder(Some(("b", 9)));
+    election.note_leader(Some(("b", 9)));
 
     assert_eq!(election.token(at(100)), None);
     assert!(!election.can_acquire(at(100)));
@@ -244,7 +244,7 @@
     election.note_won("a", 7);
 
     election.note_store_restored(at(1_000));
-    election.note_holder(None);
+    election.note_leader(None);
 
     assert_eq!(election.token(at(1_000)), None);
     assert!(!election.may_claim(at(1_000) + LEASE_TTL - Duration::from_millis(1)));
--- a/crates/engine/tests/interleavings/promoter.rs
+++ b/crates/engine/tests/interleavings/promoter.rs
@@ -134,7 +134,7 @@
             let seen = self.follower.duty;
             let seen = seen.map(|(holder, token)| (holder.to_string(), token));
             self.duty
-                .note_holder(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
+                .note_leader(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
         }
         self.keep_duty(cluster);
         self.attend(cluster, |attempt, desk| attempt.step(desk));
--- a/crates/proxy/src/line/backend/connection.rs
+++ b/crates/proxy/src/line/backend/connection.rs
@@ -118,7 +118,7 @@
         Some(name) => name.clone(),
         None => format!("p{}", connection.prepared.len() + 1),
     };
-    let run = Query::Named {
+    let run = Query::Execute {
         id,
         name: &name,
         arguments,
--- a/crates/proxy/src/line/control/state.rs
+++ b/crates/proxy/src/line/control/state.rs
@@ -168,7 +168,7 @@
         let holder = holder
             .as_ref()
             .map(|(name, revision)| (name.as_str(), *revision));
-        self.election.borrow_mut().note_holder(holder);
+        self.election.borrow_mut().note_leader(holder);
         self.publish();
     }
 
@@ -207,7 +207,7 @@
                 let name = String::from_utf8_lossy(&item.value);
                 self.election
                     .borrow_mut()
-                    .note_holder(Some((&name, item.revision)));
+                    .note_leader(Some((&name, item.revision)));
             }
             Subject::Proxy(key) => match keys::member_id(key) {
                 Some(id) => {
@@ -226,7 +226,7 @@
                 journal::write("server", json!({ "id": id, "missing": true }));
                 self.registry.borrow_mut().mark_missing(id, now);
             }
-            Subject::Proxy(key) if key == LEADER => self.election.borrow_mut().note_holder(None),
+            Subject::Proxy(key) if key == LEADER => self.election.borrow_mut().note_leader(None),
             Subject::Proxy(key) => {
                 if let Some(id) = keys::member_id(key) {
                     self.members.borrow_mut().mark_missing(id, now);
