--- a/crates/core/src/era.rs
+++ b/crates/core/src/era.rs
@@ -1,13 +1,13 @@
 //! Orders store revisions across restores of the store from a backup.
 //!
-//! A restored store may have lost its last acknowledged writes and reuses their revisions; it increments
-//! its era with each restore (`docs/DESIGN.md`, "The store comes back from a copy"). A stamp is a revision
-//! prefixed with its era, so that each stamp of a later era is higher. Mirrors, fencing tokens and records
-//! compare stamps only. A store that reports no era is always in era zero, where the stamp equals the
-//! revision.
+//! A restored store may have lost its last acknowledged writes and reuses their revisions; it
+//! increments its era with each restore (`docs/DESIGN.md`, "The store comes back from a copy"). A
+//! stamp is a revision prefixed with its era, so that each stamp of a later era is higher. Mirrors,
+//! fencing tokens and records compare stamps only. A store that reports no era is always in era
+//! zero, where the stamp equals the revision.
 
-/// Number of low bits of a stamp that hold the revision. The bits above hold the era, up to 31 if the
-/// stamp has to fit into the 53 bits of a JSON number.
+/// Number of low bits of a stamp that contain the revision. The bits above contain the era, which
+/// must not exceed 31 if the stamp has to fit into the 53 bits of a JSON number.
 const REVISION_BITS: u32 = 48;
 
 /// Combines an era and a revision into a stamp.
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -1,7 +1,8 @@
 //! Key names in the platform KV, shared by the CLI and the proxy.
 
-/// Prefix of the bundle, the primary records and the heartbeat records, which every proxy follows
-/// with one watch. Renewing the lease of a heartbeat changes no key and triggers no watch event.
+/// Prefix of the bundle, the primary records and the heartbeat records, so that a proxy can observe
+/// all of them with a single watch. Renewing the lease of a heartbeat record changes no key and
+/// triggers no watch event.
 pub const SITE_PREFIX: &str = "/dandelionpitch/site/";
 
 /// Key of the current bundle, as TOML text.
--- a/crates/core/src/kv.rs
+++ b/crates/core/src/kv.rs
@@ -4,8 +4,8 @@
 //! a response may be lost after the operation took effect. Every call therefore has a timeout, and
 //! none is retried here.
 //!
-//! The API of this module represents revisions as stamps ([`era`]) and leases with their era. The
-//! numbers of an earlier era are never sent to the KV, which may have reused them.
+//! The API of this module represents revisions as stamps ([`era`]) and leases with their era.
+//! Revisions and lease ids of an earlier era are never sent to the KV, which may have reused them.
 
 pub mod wire;
 
@@ -41,7 +41,7 @@
     era: Arc<AtomicU64>,
 }
 
-/// A lease. The KV may reuse its number in a later era.
+/// A lease. The KV may reuse its id in a later era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     era: u64,
@@ -75,7 +75,8 @@
         self.era.load(Ordering::Relaxed)
     }
 
-    /// Whether a stamp is of the latest era seen. Zero stands for no revision and is always current.
+    /// Whether a stamp is of the latest era seen. Zero means that there is no revision, and is
+    /// always current.
     fn is_current(&self, stamp: u64) -> bool {
         stamp == 0 || era::of(stamp) == self.era()
     }
@@ -149,7 +150,7 @@
         let before = self.era();
         let request = wire::TxnRequest::put_if(key, value, era::revision(mod_revision));
         let (era, response): (u64, wire::TxnResponse) = self.call("/v3/kv/txn", &request).await?;
-        // The KV was restored meanwhile: a reused revision may have matched.
+        // If the KV was restored meanwhile, a reused revision may have matched.
         let era_changed = mod_revision != 0 && era != before;
         Ok(match response.succeeded && !era_changed {
             true => Swap::Done {
@@ -170,7 +171,7 @@
         })
     }
 
-    /// Renews a lease; returns the remaining seconds, or zero if it has expired.
+    /// Renews a lease; returns its remaining time to live in seconds, or zero if it has expired.
     pub async fn keepalive(&self, lease: Lease) -> Result<u64, Error> {
         if lease.era != self.era() {
             return Ok(0);
@@ -178,7 +179,7 @@
         let request = wire::LeaseKeepAliveRequest { id: lease.id };
         let (era, response): (u64, wire::LeaseKeepAliveResponse) =
             self.call("/v3/lease/keepalive", &request).await?;
-        // In a later era the number may belong to another lease.
+        // In a later era the id may belong to another lease.
         Ok(match era == lease.era {
             true => response.result.ttl,
             false => 0,
--- a/crates/core/src/logging.rs
+++ b/crates/core/src/logging.rs
@@ -1,6 +1,6 @@
 //! Logging setup shared by both binaries: `fern` writes `log` records to standard error.
 //!
-//! Each line contains the last segment of the record's target (`router`, `control`, ...), so that
+//! Each line contains the last segment of the record's target (`session`, `failover`, ...), so that
 //! lines can be filtered by module.
 
 use log::LevelFilter;
--- a/crates/engine/benches/measure/mod.rs
+++ b/crates/engine/benches/measure/mod.rs
@@ -19,8 +19,12 @@
 
 /// The resident memory of this process, in KB.
 pub fn resident() -> f64 {
-    let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
+    let status =
+        std::fs::read_to_string("/proc/self/status").expect("/proc/self/status is readable");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let field = line.and_then(|line| line.split_whitespace().nth(1));
-    field.expect("a resident size").parse().expect("a number")
+    field
+        .expect("VmRSS is present")
+        .parse()
+        .expect("VmRSS is a number")
 }
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -14,7 +14,7 @@
     pub waiting: usize,
     /// Open connections that serve the queue.
     pub connections: usize,
-    /// Mean time for which one statement or transaction recently held a connection.
+    /// Mean time for which one statement or transaction recently used a connection.
     pub hold: Duration,
 }
 
@@ -48,7 +48,7 @@
 /// A statement waiting in the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Queued {
-    /// When its target expires.
+    /// When its latency target expires.
     pub due: Moment,
     /// When its timeout expires.
     pub deadline: Moment,
@@ -62,13 +62,13 @@
     pub too_late: Vec<usize>,
 }
 
-/// Selects the next statement from `entries`, which are ordered by rank, for connections that are held
-/// for `hold` on average.
+/// Selects the next statement from `entries`, which are in queue order, for connections that are in
+/// use for `hold` at a time on average.
 ///
-/// A statement that can still meet its target goes before one that cannot, since otherwise both would
-/// be late. Statements that cannot finish before their deadline are reported at once rather than sent
-/// or left to time out. Execution is estimated at half of `hold`, because the mean includes
-/// transactions that hold their connection while idle.
+/// A statement that can still meet its target goes before one that cannot, since otherwise both
+/// would be late. Statements that cannot finish before their deadline are refused now, instead of
+/// being sent or waiting until they time out. Execution is estimated at half of `hold`, because the
+/// mean includes transactions that keep their connection while idle.
 pub fn select(entries: &[Queued], hold: Duration, now: Moment) -> Selection {
     let done = now + hold / 2;
     let too_late = |queued: &(usize, &Queued)| done > queued.1.deadline;
--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -49,7 +49,7 @@
 struct Holder {
     id: Incarnation,
     /// Whether it counts for promotions.
-    counts: bool,
+    is_voter: bool,
     /// When it was first known to have the commit.
     first_seen: Moment,
     /// When it last reported that it has the commit.
@@ -71,9 +71,9 @@
         self.position.term
     }
 
-    /// Records a server's status, received by `now`. `counts` tells whether the server counts for
-    /// promotions.
-    pub fn note(&mut self, id: &Incarnation, counts: bool, status: &Status, now: Moment) {
+    /// Records a server's status, received by `now`. `is_voter` tells whether the server counts
+    /// for promotions.
+    pub fn note(&mut self, id: &Incarnation, is_voter: bool, status: &Status, now: Moment) {
         if !has_commit(status.received, self.position) {
             return;
         }
@@ -81,7 +81,7 @@
             Some(known) => known.last_seen = now,
             None => self.holders.push(Holder {
                 id: id.clone(),
-                counts,
+                is_voter,
                 first_seen: now,
                 last_seen: now,
             }),
@@ -105,25 +105,25 @@
     pub fn is_durable(
         &self,
         lease: Option<&Lease>,
-        list: Membership,
+        membership: Membership,
         others: &[Incarnation],
     ) -> bool {
         let has = |id: &Incarnation| self.holders.iter().any(|holder| holder.id == *id);
         if !others.is_empty() && others.iter().all(has) {
             return true;
         }
-        let Some(lease) = lease.filter(|_| list == Membership::Current) else {
+        let Some(lease) = lease.filter(|_| membership == Membership::Current) else {
             return false;
         };
-        self.is_replicated_by(|holder| holder.counts && lease.excludes_promotion(holder.first_seen))
+        self.is_replicated_by(|h| h.is_voter && lease.excludes_promotion(h.first_seen))
     }
 
     /// As [`Self::is_durable`], but proved by the group's record in the store, for a commit of the
     /// primary `leader`.
     ///
-    /// The record was requested after enough servers that count had the commit, and it shows no
-    /// promotion after that of `leader`. A later failover requests its members' statuses again
-    /// after writing the record, and finds the commit on those servers.
+    /// The record was requested after enough voters had the commit, and it shows no promotion after
+    /// that of `leader`. A later failover requests its members' statuses again after writing the
+    /// record, and finds the commit on those servers.
     ///
     /// The record also names `leader` if another server was promoted and then `leader` once more,
     /// and a server may have reported the commit in between. The report must therefore be less than
--- a/crates/engine/src/election.rs
+++ b/crates/engine/src/election.rs
@@ -29,8 +29,8 @@
 /// learn of the new leader.
 const NON_RELAY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// The least time between seeing the leadership vacant and claiming it, for a process that started
-/// `age` ago; `is_relay` tells whether it watches the store itself.
+/// The minimum time between seeing the leadership vacant and claiming it, for a process that
+/// started `age` ago; `is_relay` tells whether it watches the store itself.
 ///
 /// A recently started process does not know when a group's last promotion was, so it promotes
 /// nothing until [`PROMOTION_COOLDOWN`] after its start. If it became the leader, groups whose
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Election {
     /// The name in the leader's key, if the key exists.
-    holder: Option<String>,
+    leader: Option<String>,
     /// This process's fencing token, while it is the leader.
     token: Option<u64>,
     /// The earliest time at which this process's lease can expire.
@@ -63,12 +63,12 @@
 impl Election {
     /// Records the leader's name and its key's stamp as read from the store, or the key's absence.
     /// A key at another stamp than this process's token ends its leadership.
-    pub fn note_leader(&mut self, holder: Option<(&str, u64)>) {
-        let revision = holder.map(|(_, revision)| revision);
+    pub fn note_leader(&mut self, leader: Option<(&str, u64)>) {
+        let revision = leader.map(|(_, revision)| revision);
         if self.token.is_some() && self.token != revision {
             self.token = None;
         }
-        self.holder = holder.map(|(name, _)| name.to_owned());
+        self.leader = leader.map(|(name, _)| name.to_owned());
     }
 
     /// Records that the lease was granted or renewed by a request sent at `sent`.
@@ -82,7 +82,7 @@
         self.token = None;
     }
 
-    /// Records that the store was restored from a backup, without any lease.
+    /// Records that the store was restored from a backup, which loses all leases.
     ///
     /// A leader that does not know of the restore still promotes under its old lease, so nobody may
     /// claim the leadership until such a lease has expired on that leader's clock.
@@ -93,19 +93,19 @@
 
     /// Whether this process may request a lease to claim the leadership.
     pub fn may_claim(&self, now: Moment) -> bool {
-        let may_be_held = self.lost_lease_until.is_some_and(|until| now < until);
-        self.is_vacant() && !may_be_held
+        let lost_lease_may_be_valid = self.lost_lease_until.is_some_and(|until| now < until);
+        self.is_vacant() && !lost_lease_may_be_valid
     }
 
     /// Records that this process has written the leader's key, at the stamp `token`.
     pub fn note_won(&mut self, name: &str, token: u64) {
-        self.holder = Some(name.to_owned());
+        self.leader = Some(name.to_owned());
         self.token = Some(token);
     }
 
     /// Whether no process is known to be the leader.
     pub fn is_vacant(&self) -> bool {
-        self.holder.is_none()
+        self.leader.is_none()
     }
 
     /// Whether this process is the leader as far as it knows; its lease may have expired.
--- a/crates/engine/src/fence.rs
+++ b/crates/engine/src/fence.rs
@@ -90,7 +90,7 @@
         self.term
     }
 
-    /// How many members have to be held.
+    /// How many members have to be held as replicas.
     pub fn quorum(&self) -> usize {
         self.quorum
     }
@@ -222,27 +222,27 @@
 ///
 /// An acknowledged commit is on its primary and on `sync_replicas` other members. If all but
 /// `sync_replicas` members are held, at least one held member has the commit, and the rest are too
-/// few to acknowledge another: a primary among them lacks a replica. Without synchronous replicas
-/// every member must be held.
+/// few to acknowledge another: a primary among them has fewer than `sync_replicas` replicas.
+/// Without synchronous replicas every member must be held.
 pub fn quorum(members: usize, sync_replicas: u32) -> usize {
     members.saturating_sub(sync_replicas as usize).max(1)
 }
 
 /// The server to promote, or `None` if no safe choice exists.
 ///
-/// `fenced` are the members held as replicas, and `stepped_down` is the old primary if it has
+/// `held` are the members held as replicas, and `stepped_down` is the old primary if it has
 /// stepped down. Two cases are safe. If a [`quorum`] is held, the longest of their logs has every
 /// acknowledged commit. If the old primary stepped down, its own log has them all, so the choice is
 /// a held server whose log is at least as long, or the old primary itself.
 pub fn choose<'a>(
     quorum: usize,
-    fenced: &'a [Fenced],
+    held: &'a [Fenced],
     stepped_down: Option<&'a Fenced>,
 ) -> Option<&'a Fenced> {
-    let best = fenced
+    let best = held
         .iter()
         .max_by_key(|fenced| (fenced.received, !fenced.leaving, &fenced.id));
-    if fenced.len() >= quorum && best.is_some() {
+    if held.len() >= quorum && best.is_some() {
         return best;
     }
     let old = stepped_down?;
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -21,11 +21,11 @@
 /// margin for the time that a status request takes to reach a replica.
 pub const PROMOTION_WAIT: Duration = Duration::from_millis(550);
 
-/// The least time between two stored watermarks; closer ones replace each other.
+/// The minimum time between two stored watermarks; closer ones replace each other.
 const MIN_SPACING: Duration = Duration::from_millis(50);
 
-/// The number of watermarks kept: with [`MIN_SPACING`], more than the largest staleness bound
-/// needs.
+/// The maximum number of stored watermarks: with [`MIN_SPACING`], more than the largest staleness
+/// bound needs.
 const CAPACITY: usize = 128;
 
 /// A position of the primary's log and the time at which it was requested: the log up to `position`
@@ -147,8 +147,8 @@
 
 /// The leader lease: the proof that no server but the known primary has acknowledged a commit.
 ///
-/// A promotion releases the held replicas, and until they hear of the new primary they look as if
-/// they followed the old one. So a lease starts only when all other members follow the primary.
+/// A promotion releases the held replicas, and until they learn of the new primary they report that
+/// they follow the old one. So a lease starts only when all other members follow the primary.
 /// Fewer can renew it, but only within [`PROMOTION_WAIT`] of the last time, too short for a
 /// failover to hold the replicas and promote a server. A poll that does neither but intersects
 /// every commit quorum covers only reads that arrived before its requests were sent: if a newer
@@ -215,17 +215,17 @@
 /// A watermark obtained without the primary, so that bounded-staleness reads are served while the
 /// primary is unreachable and no other can be promoted.
 ///
-/// `received` are the log positions that servers reported in answer to requests sent after `asked`,
-/// only servers that count for promotions, of which there are `counted`. A commit confirmed to a
-/// caller is on its primary and on `sync_replicas` more of them. If at most `sync_replicas` of them
-/// did not answer, one that did has the commit, so the highest position covers every such commit.
+/// Of the `voters` servers that count for promotions, some answered requests sent after `asked`;
+/// `received` are the log positions that they reported. A commit confirmed to a caller is on its
+/// primary and on `sync_replicas` more voters. If at most `sync_replicas` voters did not answer,
+/// one that did has the commit, so the highest position covers every such commit.
 pub fn quorum_watermark(
     asked: Moment,
     received: &[Position],
-    counted: usize,
+    voters: usize,
     sync_replicas: usize,
 ) -> Option<Watermark> {
-    let is_quorum = sync_replicas > 0 && received.len() + sync_replicas >= counted;
+    let is_quorum = sync_replicas > 0 && received.len() + sync_replicas >= voters;
     let position = received.iter().copied().max().filter(|_| is_quorum)?;
     Some(Watermark { asked, position })
 }
--- a/crates/engine/src/isolation.rs
+++ b/crates/engine/src/isolation.rs
@@ -11,7 +11,7 @@
 use crate::time::Moment;
 
 /// How long all connection attempts to other data centres must have failed before this one counts
-/// as partitioned: two rounds, so that one lost packet does not suffice.
+/// as partitioned: two rounds of attempts, so that one lost packet does not suffice.
 pub const ISOLATED_AFTER: Duration = Duration::from_millis(250);
 
 /// How long the load balancer then takes to stop sending new callers: it checks readiness once a
--- a/crates/engine/src/mirror.rs
+++ b/crates/engine/src/mirror.rs
@@ -1,8 +1,9 @@
 //! A copy of the store's content, from which changes are relayed to other proxies.
 //!
-//! If every proxy watched the store, its load would grow with the number of proxies times the number of
-//! changes. A proxy with a mirror answers others like the store itself: with the changes since the
-//! revision that they have reached (`docs/DESIGN.md`, "Changes of the store").
+//! If every proxy watched the store, its load would grow with the number of proxies times the
+//! number of changes. A proxy with a mirror answers others like the store itself: with the changes
+//! since the revision that they have reached (`docs/DESIGN.md`, "Changes of the store"). All
+//! revisions in this module are stamps ([`era`]).
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -122,7 +123,8 @@
         true
     }
 
-    /// The changes after the revision `after`, or a snapshot if removals since have been discarded.
+    /// The changes after the revision `after`, or a snapshot if removals after it have been
+    /// discarded.
     pub fn since(&self, after: u64) -> Update<V> {
         let is_snapshot = after < self.compacted_revision;
         let from = match is_snapshot {
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -15,8 +15,8 @@
 
 use crate::share;
 
-/// The minimum for an owner per server. With fewer, idle open transactions could block all other
-/// statements.
+/// Minimum connections of an owner to each server. With fewer, idle open transactions could block
+/// all other statements.
 const MIN_OWNER_CONNECTIONS: usize = 3;
 
 /// All owners of a group share 1/n of a server's connections. The rest is reserved for new owners while
--- a/crates/engine/src/placement.rs
+++ b/crates/engine/src/placement.rs
@@ -1,8 +1,8 @@
 //! Load balancing of reads over the servers of a database group.
 //!
-//! Servers are ordered by expected latency, estimated from this proxy's in-flight statements and
-//! recent latencies there. The primary is chosen only if all replicas are clearly slower, as it is
-//! the only server that accepts writes.
+//! Servers are ordered by expected latency, estimated from this proxy's in-flight statements on
+//! each server and their recent latencies. The primary is chosen only if all replicas are clearly
+//! slower, as it is the only server that accepts writes.
 
 use std::time::Duration;
 
--- a/crates/engine/src/registry.rs
+++ b/crates/engine/src/registry.rs
@@ -12,9 +12,9 @@
 /// guarantees that entries lost in a store outage reappear within about two seconds after it.
 pub const MISSING_TIMEOUT: Duration = Duration::from_millis(2_600);
 
-/// How long a server still accepts work, if no other server can run it, after it may have announced
-/// that it will stop. Shorter than the time the platform gives it (7 s), so that in-flight
-/// statements finish.
+/// How long a leaving server is still given work that no other server can run, counted from the
+/// earliest time at which it may have announced that it will stop. Shorter than the time the
+/// platform gives it (7 s), so that in-flight statements finish.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(5_000);
 
 /// A server's role by its own report.
@@ -111,8 +111,8 @@
 }
 
 impl Registry {
-    /// Notes that no change of the store up to `moment` was missed. Before the first one that is
-    /// the start of the VM.
+    /// Notes that no change of the store up to `moment` was missed. A starting proxy passes the
+    /// start of the VM, as a server may have announced at any time since that it will stop.
     ///
     /// The store may be unreachable when a server announces that it will stop. The drain period
     /// counts from the last synced time, not from when the proxy learns of the announcement: by
@@ -180,7 +180,7 @@
     /// Applies the complete list of a store that was restored from a backup.
     ///
     /// The backup may predate a server's announcement that it will stop. The server still counts as
-    /// leaving until it has written its entry again, which takes moments.
+    /// leaving until it writes its entry again with its next heartbeat.
     pub fn restore(&mut self, mut servers: Vec<Server>, now: Moment) {
         for server in &mut servers {
             let known = self.entries.get(server.id());
--- a/crates/engine/src/roster.rs
+++ b/crates/engine/src/roster.rs
@@ -1,5 +1,5 @@
-//! Tracks which servers of a group count for promotions: those that may be alone in having some
-//! acknowledged commit.
+//! Tracks which servers of a group count for promotions: those that may have an acknowledged commit
+//! that no other server has.
 //!
 //! A primary and the replica that acknowledged its last commits may be partitioned together, or the
 //! replica may leave for good. When their registrations expire, the remaining servers look like the
@@ -31,8 +31,7 @@
 /// The servers of one group that count for promotions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Roster {
-    /// Servers that are no longer registered, and when each was found to be gone or was last in
-    /// use.
+    /// Servers that are no longer registered, and when each was found missing or was last in use.
     vanished: Map<Incarnation, Moment>,
     /// Registered servers.
     present: Vec<Incarnation>,
@@ -81,8 +80,8 @@
         }
     }
 
-    /// Notes that a vanished server is still in use at `now`, so that it may yet be alone in
-    /// confirming a commit, and keeps it on the list accordingly.
+    /// Notes that a vanished server is still in use at `now`: it may still be the only server to
+    /// confirm a commit, so it is kept on the list as if it had vanished at `now`.
     pub fn note_in_use(&mut self, id: &Incarnation, now: Moment) {
         if let Some(since) = self.vanished.get_mut(id) {
             *since = now;
--- a/crates/engine/src/session.rs
+++ b/crates/engine/src/session.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Records that a statement failed, by which the open transaction, if any, is rolled back.
+    /// Records that a statement failed, which rolls back the open transaction, if any.
     pub fn failed(&mut self) {
         if matches!(self.phase, Phase::Open(_)) {
             self.phase = Phase::Failed;
--- a/crates/engine/src/share.rs
+++ b/crates/engine/src/share.rs
@@ -1,16 +1,16 @@
 //! Divides the connections that a server accepts among the proxies.
 
-/// Connections of each server that are not shared out: for the failover leader's status requests,
-/// and for new proxies while stopped ones still count.
+/// Connections of each server that are not divided among the proxies: for the failover leader's
+/// status requests, and for new proxies while stopped ones still count.
 const RESERVED: u32 = 3;
 
-/// How many connections all proxies together keep per slot of a server. More than one, because a
+/// How many connections all proxies together open per slot of a server. More than one, because a
 /// transaction holds its connection while its caller is idle; not many more, because a server runs
 /// queued statements in order of arrival rather than by deadline.
 pub const PER_SLOT: usize = 3;
 
-/// The least connections of one proxy to a server, so that one held by a transaction does not block
-/// all other statements.
+/// Minimum connections of one proxy to a server, so that one used by an open transaction does not
+/// block all other statements.
 pub const MIN_PER_PROXY: usize = 2;
 
 /// One proxy's share of the connections to a server with `slots` slots that accepts
--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/takeover.rs
@@ -41,7 +41,7 @@
 pub const STALLED_AFTER: Duration = Duration::from_millis(900);
 
 /// How long replicas may stay held while a primary leads. A failover that another process abandoned
-/// leaves them held; after this time it no longer retries its promotion call.
+/// leaves them held; after this time that process no longer retries its promotion call.
 const MAX_HOLD: Duration = Duration::from_millis(2_500);
 
 /// How long replication may make no progress before replicas are polled more often: longer than the
@@ -228,6 +228,7 @@
         Decision::Replace { old, cause }
     }
 
+    /// Evaluates a group in which `leader` leads the newest term.
     fn evaluate_led(
         &mut self,
         leader: &Member,
