--- a/crates/engine/src/election.rs
+++ b/crates/engine/src/election.rs
@@ -84,8 +84,8 @@
 
     /// Records that the store was restored from a backup, which loses all leases.
     ///
-    /// A leader that does not know of the restore still promotes under its old lease, so nobody may
-    /// claim the leadership until such a lease has expired on that leader's clock.
+    /// A leader that does not know of the restore still promotes under its old lease, so no process
+    /// may claim the leadership until such a lease has expired on that leader's clock.
     pub fn note_store_restored(&mut self, now: Moment) {
         self.note_expiry();
         self.lost_lease_until = Some(now + LEASE_TTL);
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -149,9 +149,9 @@
     }
 }
 
-/// The time up to which a follower has all changes after a response to the request that it sent at
-/// `asked`. The relay responded `waited` after it received the request, and may have missed changes of
-/// the last `age` before that.
+/// The time up to which a follower has all changes, once it has applied the response to a request
+/// that it sent at `asked`. The relay responded `waited` after it received the request, and may
+/// have missed changes of the last `age` before that.
 ///
 /// The result is a lower bound even if the relay or follower was suspended or the response was delayed:
 /// the relay responded `waited` after `asked` at the earliest, and both durations are measured by
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -179,8 +179,8 @@
     /// before the record was requested.
     ///
     /// A failover records its promotion before it rechecks its members and requests the promotion.
-    /// One not yet recorded had held none of those replicas at `followed`, and has to hold at least
-    /// one of them for [`PROMOTION_WAIT`] before it promotes.
+    /// A failover that has not recorded its promotion yet had held none of those replicas at
+    /// `followed`, and has to hold at least one of them for [`PROMOTION_WAIT`] before it promotes.
     pub fn renew_from_record(&mut self, followed: Moment) {
         self.renewed = self.renewed.max(Some(followed));
         self.until = self.until.max(Some(followed + LEADER_LEASE));
--- a/crates/engine/src/roster.rs
+++ b/crates/engine/src/roster.rs
@@ -63,7 +63,7 @@
                 .iter()
                 .filter(|member| has(member, position))
                 .count();
-            // The primary and all others but at most one have it, so any quorum of the rest does.
+            // All members but at most one have it, so every quorum of them includes one that does.
             if holders + 1 >= members.len() && holders >= 2 {
                 self.vanished
                     .retain(|_, since| asked <= *since + LIST_VALIDITY);
