--- a/crates/engine/tests/interleavings/coordinator.rs
+++ b/crates/engine/tests/interleavings/coordinator.rs
@@ -152,7 +152,7 @@
             let seen = self.view.leadership;
             let seen = seen.map(|(holder, token)| (holder.to_string(), token));
             self.election
-                .note_holder(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
+                .note_leader(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
         }
         self.maintain_leadership(cluster);
         self.update_attempts(cluster, |attempt, ctx| attempt.step(ctx));
