--- a/crates/engine/tests/control.rs
+++ b/crates/engine/tests/control.rs
@@ -189,8 +189,9 @@
     assert_eq!(claim_delay(long_uptime, true), Duration::ZERO);
 }
 
-/// A data centre is partitioned. Its proxies report not ready once that is certain, close idle
-/// sessions once the load balancer has noticed, and recover when any host outside answers.
+/// A data centre is partitioned. Its proxies report not ready after [`ISOLATED_AFTER`], close idle
+/// sessions once the load balancer has noticed, and recover when a host of another data centre
+/// answers.
 #[test]
 fn isolated_proxy_sends_callers_elsewhere() {
     let mut isolation = Isolation::default();
--- a/crates/engine/tests/feed.rs
+++ b/crates/engine/tests/feed.rs
@@ -60,14 +60,14 @@
     });
 
     let first = Source::Peer(relays[0].id.clone());
-    let asked = subscriptions
+    let followers = subscriptions
         .filter(|source| source.as_ref() == Some(&first))
         .count();
 
     assert!(relays.iter().all(|peer| peer.capacity > 500.0));
     assert!(
-        (10..=30).contains(&asked),
-        "{asked} of 38 follow the first relay"
+        (10..=30).contains(&followers),
+        "{followers} of 38 follow the first relay"
     );
 }
 
@@ -102,18 +102,18 @@
     let peers = fleet(&["a", "b", "c"], 10);
     let subscription = Subscription::new(&peers, "a-1", "a");
     let mut failures = Failures::default();
-    let mut asked = Vec::new();
+    let mut tried = Vec::new();
     for _ in 0..subscription.sources.len() {
         let source = failures.choose(&subscription, at(1_000));
         failures.record(&source, at(1_000));
-        asked.push(source);
+        tried.push(source);
     }
 
     let meanwhile = failures.choose(&subscription, at(1_500));
     let later = failures.choose(&subscription, at(2_100));
 
-    assert_eq!(asked, subscription.sources);
-    assert_eq!(asked.last(), Some(&Source::Store));
+    assert_eq!(tried, subscription.sources);
+    assert_eq!(tried.last(), Some(&Source::Store));
     assert!(failures.is_backing_off(&meanwhile, &subscription, at(1_500)));
     assert_eq!(later, subscription.sources[0]);
 }
@@ -156,9 +156,9 @@
 fn delayed_response_does_not_look_more_recent() {
     let asked = at(10_000);
 
-    let known = feed::synced_until(asked, millis(1_000), millis(700));
+    let synced_until = feed::synced_until(asked, millis(1_000), millis(700));
 
-    assert_eq!(known, at(10_300));
+    assert_eq!(synced_until, at(10_300));
 }
 
 /// While nothing changes, a follower's list of servers must stay valid until its next poll ends.
--- a/crates/engine/tests/freshness.rs
+++ b/crates/engine/tests/freshness.rs
@@ -19,7 +19,7 @@
     Position { term, lsn }
 }
 
-fn mark(millis: u64, term: u64, lsn: u64) -> Watermark {
+fn watermark(millis: u64, term: u64, lsn: u64) -> Watermark {
     Watermark {
         asked: at(millis),
         position: position(term, lsn),
@@ -51,14 +51,14 @@
 /// earlier ones suffices, and more replicas have reached it.
 #[test]
 fn floor_is_the_oldest_watermark_within_the_staleness_bound() {
-    let mut marks = Watermarks::default();
+    let mut watermarks = Watermarks::default();
     for (millis, lsn) in [(0, 10), (100, 20), (200, 30)] {
-        marks.note(mark(millis, 1, lsn));
+        watermarks.note(watermark(millis, 1, lsn));
     }
 
-    let floors = [0, 50, 150, 201].map(|since| marks.floor(at(since)));
+    let floors = [0, 50, 150, 201].map(|since| watermarks.floor(at(since)));
 
-    let lsns = floors.map(|floor| floor.map(|mark| mark.position.lsn));
+    let lsns = floors.map(|floor| floor.map(|watermark| watermark.position.lsn));
     assert_eq!(lsns, [Some(10), Some(20), Some(30), None]);
 }
 
@@ -66,39 +66,40 @@
 /// server would refuse a read that requires them.
 #[test]
 fn watermarks_of_an_earlier_term_are_dropped() {
-    let mut marks = Watermarks::default();
-    marks.note(mark(0, 1, 500));
-    marks.note(mark(100, 2, 450));
+    let mut watermarks = Watermarks::default();
+    watermarks.note(watermark(0, 1, 500));
+    watermarks.note(watermark(100, 2, 450));
 
-    let floor = marks.floor(at(0));
+    let floor = watermarks.floor(at(0));
 
-    assert_eq!(floor, Some(mark(100, 2, 450)));
+    assert_eq!(floor, Some(watermark(100, 2, 450)));
 }
 
 /// The old primary answers late, when watermarks of the new term are already known.
 #[test]
 fn late_watermark_of_an_earlier_term_is_ignored() {
-    let mut marks = Watermarks::default();
-    marks.note(mark(0, 2, 450));
-    marks.note(mark(100, 1, 600));
+    let mut watermarks = Watermarks::default();
+    watermarks.note(watermark(0, 2, 450));
+    watermarks.note(watermark(100, 1, 600));
 
-    assert_eq!(marks.newest(), Some(mark(0, 2, 450)));
+    assert_eq!(watermarks.newest(), Some(watermark(0, 2, 450)));
 }
 
 /// A session must see its own commit, even one newer than its staleness bound requires.
 #[test]
 fn own_commit_raises_the_floor() {
-    let mut marks = Watermarks::default();
-    marks.note(mark(0, 1, 10));
+    let mut watermarks = Watermarks::default();
+    watermarks.note(watermark(0, 1, 10));
 
-    let required = freshness::required(at(0), &marks, Some(position(1, 40)));
+    let required = freshness::required(at(0), &watermarks, Some(position(1, 40)));
 
     assert_eq!(required, Some(position(1, 40)));
 }
 
-/// A promotion releases the replicas, and one that does not know of the new primary yet looks like a
-/// follower of the old one. The other replica, the new primary, is unreachable for the proxy. A lease from
-/// a poll after the promotion wait would let reads miss the new primary's commits.
+/// A promotion releases the held replicas, and one that does not know of the new primary yet looks
+/// like a follower of the old one. The proxy cannot reach the other replica, which is the new
+/// primary. A lease from a poll after the promotion wait would let reads miss the new primary's
+/// commits.
 #[test]
 fn one_follower_after_the_promotion_wait_grants_no_lease() {
     let mut lease = Lease::default();
@@ -200,10 +201,10 @@
     lsns.iter().map(position).collect()
 }
 
-/// The primary is partitioned, and no server can be promoted as the store is unreachable. Reads with a
-/// staleness bound continue: each confirmed commit is on two of the three servers that count, and two
-/// answer. One answer, or two if a vanished server may have the commit, or any number without synchronous
-/// replicas, proves nothing.
+/// The primary is partitioned, and no server can be promoted as the store is unreachable. Reads
+/// with a staleness bound continue: each confirmed commit is on two of the three servers that count
+/// for promotions, and two answer. One answer, or two if a vanished server may have the commit, or
+/// any number without synchronous replicas, proves nothing.
 #[parameterized(
     both_replicas = { &[17, 19], 3, 1, Some(19) },
     all_three = { &[17, 19, 20], 3, 1, Some(20) },
@@ -219,45 +220,46 @@
     sync_replicas: usize,
     expected: Option<u64>,
 ) {
-    let mark = freshness::quorum_watermark(at(500), &positions(received), counted, sync_replicas);
+    let watermark =
+        freshness::quorum_watermark(at(500), &positions(received), counted, sync_replicas);
 
     let position = expected.map(|lsn| Position { term: 3, lsn });
-    assert_eq!(mark.map(|mark| mark.position), position);
-    assert!(mark.is_none_or(|mark| mark.asked == at(500)));
+    assert_eq!(watermark.map(|watermark| watermark.position), position);
+    assert!(watermark.is_none_or(|watermark| watermark.asked == at(500)));
 }
 
 /// The primary restarts with an empty log and answers before another server can lead. Its position must
 /// not become the floor of reads.
 #[test]
 fn shorter_log_yields_no_watermark() {
-    let mut marks = Watermarks::default();
-    let mark = |asked, lsn| Watermark {
+    let mut watermarks = Watermarks::default();
+    let watermark = |asked, lsn| Watermark {
         asked: at(asked),
         position: Position { term: 3, lsn },
     };
-    marks.note(mark(0, 40));
+    watermarks.note(watermark(0, 40));
 
-    marks.note(mark(200, 0));
+    watermarks.note(watermark(200, 0));
 
-    assert_eq!(marks.floor(at(100)), None);
-    assert_eq!(marks.newest(), Some(mark(0, 40)));
+    assert_eq!(watermarks.floor(at(100)), None);
+    assert_eq!(watermarks.newest(), Some(watermark(0, 40)));
 }
 
 /// The primary restarts with an empty log before a recently started proxy has any watermark. Guards
 /// against reads on the empty log: they require the position that the primary reported before.
 #[test]
 fn reads_require_the_position_that_the_primary_reported() {
-    let mut marks = Watermarks::default();
+    let mut watermarks = Watermarks::default();
 
-    let initial = marks.newest_position();
-    marks.note_leader_position(position(2, 40));
-    let reported = marks.newest_position();
-    marks.note(mark(0, 2, 41));
-    let with_watermark = marks.newest_position();
-    marks.note_leader_position(position(3, 20));
+    let initial = watermarks.newest_position();
+    watermarks.note_leader_position(position(2, 40));
+    let reported = watermarks.newest_position();
+    watermarks.note(watermark(0, 2, 41));
+    let with_watermark = watermarks.newest_position();
+    watermarks.note_leader_position(position(3, 20));
 
     assert_eq!(initial, None);
     assert_eq!(reported, Some(position(2, 40)));
     assert_eq!(with_watermark, Some(position(2, 41)));
-    assert_eq!(marks.newest_position(), Some(position(3, 20)));
+    assert_eq!(watermarks.newest_position(), Some(position(3, 20)));
 }
--- a/crates/engine/tests/interleavings/coordinator.rs
+++ b/crates/engine/tests/interleavings/coordinator.rs
@@ -150,7 +150,7 @@
     pub fn step(&mut self, cluster: &mut Cluster) {
         if self.view.sync(cluster) {
             let seen = self.view.leadership;
-            let seen = seen.map(|(holder, token)| (holder.to_string(), token));
+            let seen = seen.map(|(leader, token)| (leader.to_string(), token));
             self.election
                 .note_leader(seen.as_ref().map(|(name, token)| (name.as_str(), *token)));
         }
@@ -173,7 +173,7 @@
                 return;
             }
             match &mut cluster.store.leadership {
-                Some((holder, _, end)) if *holder == self.number => {
+                Some((leader, _, end)) if *leader == self.number => {
                     *end = until;
                     self.election.note_renewal(moment(now));
                     self.renewed_at = now;
--- a/crates/engine/tests/interleavings/proxy/durability.rs
+++ b/crates/engine/tests/interleavings/proxy/durability.rs
@@ -96,8 +96,9 @@
         self.pending.push(pending);
     }
 
-    /// Asks the replicas whether they have a commit. While the lease excludes a promotion, one that
-    /// counts for promotions suffices, so those are asked one after another, otherwise all at once.
+    /// Asks the replicas whether they have a commit. While the lease excludes a promotion, a single
+    /// replica that counts for promotions suffices, so these are asked one after another. Otherwise
+    /// all replicas are asked at once.
     fn start_commit_round(&self, cluster: &mut Cluster, primary: &Incarnation) -> Round {
         let now = cluster.now;
         let mut replicas = self.view.entries();
--- a/crates/engine/tests/interleavings/view.rs
+++ b/crates/engine/tests/interleavings/view.rs
@@ -76,7 +76,7 @@
         if let Some((revision, record)) = store.record {
             self.note_record(revision, record, cluster.now);
         }
-        self.leadership = store.leadership.map(|(holder, token, _)| (holder, token));
+        self.leadership = store.leadership.map(|(leader, token, _)| (leader, token));
         self.synced_until = as_of;
         self.next_sync = cluster.now + 1 + cluster.draw(20);
         true
--- a/crates/engine/tests/mirror.rs
+++ b/crates/engine/tests/mirror.rs
@@ -71,8 +71,8 @@
     assert_eq!(follower.since(0).changes, [written("config", 12, "v2")]);
 }
 
-/// A follower switches to a source that is behind the previous one. Applied, its older updates would bring
-/// back an earlier configuration.
+/// A follower switches to a source that is behind the previous one. Applying its older updates
+/// would bring back an earlier configuration.
 #[test]
 fn older_updates_are_ignored() {
     let mut mirror = mirror();
@@ -110,8 +110,8 @@
     assert!(mirror.since(9_900).changes.len() < 100);
 }
 
-/// The store was restored from a backup, and its revisions continue from there. Guards against a mirror
-/// that keeps keys which the restored store lacks, or takes changes alone for the whole content.
+/// The store was restored from a backup, and its revisions continue from there. Guards against a
+/// mirror that keeps keys which the restored store lacks, or treats changes as a snapshot.
 #[test]
 fn later_era_starts_with_a_snapshot() {
     let mut mirror = mirror();
--- a/crates/engine/tests/ownership.rs
+++ b/crates/engine/tests/ownership.rs
@@ -62,14 +62,14 @@
     );
 }
 
-/// If the connections suffice for twice the number of proxies, every proxy has its own, which saves
+/// If the connections suffice for twice the number of proxies, every proxy has its own, which avoids
 /// forwarding. Twice, because a server still counts the connections of failed proxies for a while.
 #[parameterized(
-    four_before_21 = { 4, 21, 3, true },
-    eight_before_21 = { 8, 21, 3, false },
-    six_before_34 = { 6, 34, 3, true },
-    seven_before_33 = { 7, 33, 5, true },
-    seventy_five_before_49 = { 75, 49, 5, false },
+    four_proxies_21_connections = { 4, 21, 3, true },
+    eight_proxies_21_connections = { 8, 21, 3, false },
+    six_proxies_34_connections = { 6, 34, 3, true },
+    seven_proxies_33_connections = { 7, 33, 5, true },
+    seventy_five_proxies_49_connections = { 75, 49, 5, false },
 )]
 fn proxies_of_small_fleets_have_own_connections(
     members: usize,
--- a/crates/engine/tests/roster.rs
+++ b/crates/engine/tests/roster.rs
@@ -1,4 +1,5 @@
-//! Which servers count for promotions, because they may be alone in having an acknowledged commit.
+//! Which servers count for promotions: those that may have an acknowledged commit that no other
+//! server has.
 
 use std::time::Duration;
 
@@ -37,8 +38,9 @@
     member(id, Role::Replica, lsn, asked)
 }
 
-/// The primary and the replica that acknowledged its last commits are partitioned together, and their
-/// entries expire. Guards against losing these commits because the rest looks like the whole group.
+/// The primary and the replica that acknowledged its last commits are partitioned together, and
+/// their entries expire. Guards against losing these commits because the remaining servers look
+/// like the whole group.
 #[test]
 fn vanished_servers_still_count() {
     let mut roster = Roster::default();
@@ -58,9 +60,9 @@
     assert_eq!(roster.len(), 4);
 }
 
-/// A replica leaves for good while the primary continues. A proxy that is partitioned from the store may
-/// use a list with the replica until it expires, so the replica counts until enough others have all that
-/// the primary had after that.
+/// A replica leaves for good while the primary continues. A proxy that is partitioned from the store
+/// may use a list that contains the replica until the list expires, so the replica counts until
+/// enough other servers have everything that the primary had after that time.
 #[test]
 fn vanished_server_is_dropped_once_others_have_its_commits() {
     let mut roster = Roster::default();
@@ -113,8 +115,8 @@
     assert_eq!(roster.ids(), ["a", "b", "c"].map(Incarnation::from));
 }
 
-/// A server that is no longer registered still receives commits. Guards against dropping it because the
-/// others have the earlier ones: it may be alone in confirming the next commit.
+/// A server that is no longer registered still receives commits. Guards against dropping it because
+/// the others have the earlier ones: it may be the only server to confirm the next commit.
 #[test]
 fn vanished_server_in_use_counts() {
     let validity_ms = LIST_VALIDITY.as_millis() as u64;
--- a/crates/engine/tests/takeover.rs
+++ b/crates/engine/tests/takeover.rs
@@ -115,9 +115,9 @@
     assert_eq!(takeover::lost_since(at(0), at(now)), at(since));
 }
 
-/// Abandoned attempts left the replicas held for a term above that of the primary promoted in the end. Its
-/// commits wait because the replicas are held, not because they are partitioned, and would also wait under
-/// the next primary. So the replicas are released instead.
+/// Abandoned attempts left the replicas held for a term above that of the primary that was promoted
+/// eventually. Its commits wait because the replicas are held, not because they are partitioned, and
+/// would also wait under the next primary. So the replicas are released instead.
 #[test]
 fn held_replicas_do_not_count_as_a_stall() {
     let mut monitor = Monitor::default();
@@ -212,8 +212,8 @@
     assert_eq!(decision, replace("a", Cause::Leaving));
 }
 
-/// A replica stays held after its primary was replaced. Replacing the healthy new primary by it would lose
-/// every commit acknowledged since.
+/// A replica stays held after its primary was replaced. Promoting it in place of the healthy new
+/// primary would lose every commit acknowledged since.
 #[test]
 fn held_replica_of_a_healthy_primary_is_released() {
     let mut monitor = Monitor::default();
--- a/crates/proxy/benches/control.rs
+++ b/crates/proxy/benches/control.rs
@@ -1,4 +1,4 @@
-//! Control side costs at the design size (`docs/CAPACITY.md`): assigning groups to proxies, parsing
+//! Control plane costs at the design size (`docs/CAPACITY.md`): assigning groups to proxies, parsing
 //! a bundle, and the memory of idle pools. Fails if a cost exceeds its regression bound.
 //!
 //! Run with `cargo bench -p dandelionpitch-proxy`.
@@ -80,13 +80,13 @@
 
     let pool = pool_kb();
     println!(
-        "pool: {pool:.2} KB a server, {:.1} MB for all",
+        "pool: {pool:.2} KB per server, {:.1} MB for all",
         pool * 3.0 * GROUPS as f64 / 1024.0
     );
     println!(
-        "duty: {assign:.1?} for {GROUPS} groups over {PROXIES} proxies, {watched_count} to watch"
+        "assignment: {assign:.1?} for {GROUPS} groups over {PROXIES} proxies, {watched_count} to watch"
     );
-    println!("bundle: {} KB, {parse:.1?} to read", text.len() / 1024);
+    println!("bundle: {} KB, {parse:.1?} to parse", text.len() / 1024);
     assert!(
         assign <= ASSIGNMENT_BOUND,
         "assignment takes longer than its bound"
--- a/crates/proxy/tests/voters.rs
+++ b/crates/proxy/tests/voters.rs
@@ -127,8 +127,9 @@
     assert_eq!(when_covered, Some((1, address(0))));
 }
 
-/// One bundle adds replica 3, the next removes it before the record names it. Guards against a proxy
-/// that starts then and does not know of replica 3, which may alone have a commit.
+/// One bundle adds replica 3, the next removes it before the record names it. Guards against a
+/// proxy that starts then and does not know of replica 3, which may be the only replica with a
+/// commit.
 #[test]
 fn record_lacks_added_server_until_rewritten() {
     let now = Instant::now();
