--- a/crates/engine/benches/fleet.rs
+++ b/crates/engine/benches/fleet.rs
@@ -12,7 +12,7 @@
     mirror::{Change, Item, Mirror, Update},
     ownership::{self, Allocation, Limits, Peer, Plan, Query},
 };
-use measure::{median, resident};
+use measure::{median, resident_kb};
 
 const PROXIES: usize = 3_400;
 const DCS: usize = 15;
@@ -93,9 +93,9 @@
         }
     });
     let subscription = median(|| drop(black_box(Subscription::new(&now, OWN_ID, OWN_DC))));
-    let empty_kb = resident();
+    let empty_kb = resident_kb();
     let mirror = mirror();
-    let mirror_kb = resident() - empty_kb;
+    let mirror_kb = resident_kb() - empty_kb;
     let update = median(|| drop(black_box(mirror.since(mirror.revision() - BATCH as u64))));
 
     let bound = Duration::from_secs_f64(MAX_CPU_FRACTION * SECONDS_PER_DAY / CHANGES_PER_DAY);
--- a/crates/engine/benches/measure/mod.rs
+++ b/crates/engine/benches/measure/mod.rs
@@ -18,7 +18,7 @@
 }
 
 /// The resident memory of this process, in KB.
-pub fn resident() -> f64 {
+pub fn resident_kb() -> f64 {
     let status =
         std::fs::read_to_string("/proc/self/status").expect("/proc/self/status is readable");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/proxy/benches/control.rs
+++ b/crates/proxy/benches/control.rs
@@ -14,7 +14,7 @@
     control::assignment::{Member, Roster},
     pool,
 };
-use measure::{median, resident};
+use measure::{median, resident_kb};
 
 const PROXIES: usize = 3_400;
 const DCS: usize = 15;
@@ -49,14 +49,14 @@
 /// The memory in KB of a pool without connections.
 fn pool_kb() -> f64 {
     let config = Config::load(None).expect("the embedded settings");
-    let before = resident();
+    let before = resident_kb();
     let pools: Vec<_> = (0..3 * GROUPS)
         .map(|index| {
             let address = ([10, 0, (index / 250) as u8, (index % 250) as u8], 5432).into();
             pool::build(address, "g", 8, &config)
         })
         .collect();
-    (resident() - before) / pools.len() as f64
+    (resident_kb() - before) / pools.len() as f64
 }
 
 fn main() {
