--- a/crates/engine/tests/interleavings/proxy.rs
+++ b/crates/engine/tests/interleavings/proxy.rs
@@ -42,8 +42,8 @@
 #[derive(Default)]
 struct Round {
     asked: u64,
-    /// Unanswered requests: the tag, the server, and when the request is sent.
-    open: Vec<(u64, Incarnation, u64)>,
+    /// The tag and server of each unanswered request, and when it is sent.
+    unanswered: Vec<(u64, Incarnation, u64)>,
     followers: usize,
     /// When the round ends, even if answers are missing.
     deadline: u64,
@@ -53,8 +53,8 @@
 impl Round {
     /// Removes the request with this tag, which has been answered, and returns its server.
     fn take_answer(&mut self, tag: u64) -> Option<Incarnation> {
-        let at = self.open.iter().position(|(open, ..)| *open == tag)?;
-        Some(self.open.remove(at).1)
+        let at = self.unanswered.iter().position(|(sent, ..)| *sent == tag)?;
+        Some(self.unanswered.remove(at).1)
     }
 }
 
@@ -235,9 +235,9 @@
         timeout: u64,
     ) -> Round {
         let now = cluster.now;
-        let mut open = Vec::new();
+        let mut unanswered = Vec::new();
         for (nth, entry) in (0..).zip(servers) {
-            open.push((
+            unanswered.push((
                 cluster.next_tag(),
                 entry.server.incarnation.clone(),
                 now + spacing * nth,
@@ -245,7 +245,7 @@
         }
         let mut round = Round {
             asked: now,
-            open,
+            unanswered,
             deadline: now + timeout,
             ..Round::default()
         };
@@ -256,7 +256,7 @@
     /// Sends the requests of a round that are due at this step.
     fn send_due(&self, cluster: &mut Cluster, round: &mut Round) {
         let (node, now) = (self.view.node, cluster.now);
-        for (tag, id, at) in &round.open {
+        for (tag, id, at) in &round.unanswered {
             if *at == now {
                 cluster.send_command(
                     Origin { node, tag: *tag },
@@ -301,7 +301,7 @@
     fn advance_search(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
         if let Some(round) = self.search.take() {
-            if now < round.deadline && !round.open.is_empty() {
+            if now < round.deadline && !round.unanswered.is_empty() {
                 self.search = Some(round);
                 return;
             }
@@ -337,7 +337,7 @@
     fn advance_poll(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
         if let Some(round) = self.poll.take() {
-            if now < round.deadline && !round.open.is_empty() {
+            if now < round.deadline && !round.unanswered.is_empty() {
                 self.poll = Some(round);
             } else {
                 self.lease
--- a/crates/engine/tests/interleavings/proxy/durability.rs
+++ b/crates/engine/tests/interleavings/proxy/durability.rs
@@ -82,7 +82,7 @@
             Stage::Paused { until } if now >= *until => {
                 pending.stage = Stage::Polling(self.start_commit_round(cluster, &pending.primary));
             }
-            Stage::Polling(round) if now >= round.deadline || round.open.is_empty() => {
+            Stage::Polling(round) if now >= round.deadline || round.unanswered.is_empty() => {
                 let followed = (round.followers > 0).then_some(round.asked);
                 return self.finish_round(cluster, pending, followed);
             }
@@ -119,7 +119,7 @@
 
     pub(super) fn receive_commit_answer(&mut self, cluster: &mut Cluster, tag: u64, body: Body) {
         let has_tag = |pending: &Pending| match &pending.stage {
-            Stage::Polling(round) => round.open.iter().any(|(open, ..)| *open == tag),
+            Stage::Polling(round) => round.unanswered.iter().any(|(sent, ..)| *sent == tag),
             _ => false,
         };
         let Some(at) = self.pending.iter().position(has_tag) else {
