--- a/crates/engine/tests/interleavings/proxy/durability.rs
+++ b/crates/engine/tests/interleavings/proxy/durability.rs
@@ -82,7 +82,7 @@
             Stage::Paused { until } if now >= *until => {
                 pending.stage = Stage::Polling(self.start_commit_round(cluster, &pending.primary));
             }
-            Stage::Polling(round) if now >= round.deadline || round.open.is_empty() => {
+            Stage::Polling(round) if now >= round.deadline || round.unanswered.is_empty() => {
                 let followed = (round.followers > 0).then_some(round.asked);
                 return self.finish_round(cluster, pending, followed);
             }
@@ -96,8 +96,9 @@
         self.pending.push(pending);
     }
 
-    /// Asks the replicas whether they have a commit. While the lease excludes a promotion, one that
-    /// counts for promotions suffices, so those are asked one after another, otherwise all at once.
+    /// Asks the replicas whether they have a commit. While the lease excludes a promotion, a single
+    /// replica that counts for promotions suffices, so these are asked one after another. Otherwise
+    /// all replicas are asked at once.
     fn start_commit_round(&self, cluster: &mut Cluster, primary: &Incarnation) -> Round {
         let now = cluster.now;
         let mut replicas = self.view.entries();
@@ -118,7 +119,7 @@
 
     pub(super) fn receive_commit_answer(&mut self, cluster: &mut Cluster, tag: u64, body: Body) {
         let has_tag = |pending: &Pending| match &pending.stage {
-            Stage::Polling(round) => round.open.iter().any(|(open, ..)| *open == tag),
+            Stage::Polling(round) => round.unanswered.iter().any(|(sent, ..)| *sent == tag),
             _ => false,
         };
         let Some(at) = self.pending.iter().position(has_tag) else {
