--- a/crates/e2e/benches/read_path.rs
+++ b/crates/e2e/benches/read_path.rs
@@ -60,8 +60,8 @@
             .as_array()
             .unwrap()
             .iter()
-            .filter(|f| f["name"] == "reads" && f["attributes"][0][1] == target)
-            .map(|f| f["value"].as_f64().unwrap())
+            .filter(|sample| sample["name"] == "reads" && sample["attributes"][0][1] == target)
+            .map(|sample| sample["value"].as_f64().unwrap())
             .sum::<f64>()
     };
     (count("replica"), count("primary"))
--- a/crates/e2e/tests/assignment.rs
+++ b/crates/e2e/tests/assignment.rs
@@ -26,13 +26,13 @@
     let mut layout = Layout::new(name, SIX_IN_THREE_DCS);
     layout.settings = settings;
     let site = Site::build(&layout).await;
-    let settled = eventually(TIMEOUT, || async { all_know_each_other(&site).await }).await;
+    let settled = eventually(TIMEOUT, || async { all_members_known(&site).await }).await;
     assert!(settled, "all six proxies know each other");
     let watchers = watchers(&site).await;
     (site, watchers)
 }
 
-async fn all_know_each_other(site: &Site) -> bool {
+async fn all_members_known(site: &Site) -> bool {
     let mut all = true;
     for proxy in &site.proxies {
         all &= operator_json(proxy, "/status").await["members"] == site.proxies.len();
@@ -62,7 +62,7 @@
 /// Callers of the other proxies read their own writes and are served by replicas.
 #[tokio::test]
 async fn group_is_served_by_proxies_that_do_not_watch_it() {
-    let (site, watchers) = start_site("duty").await;
+    let (site, watchers) = start_site("watched").await;
     let others = others(&site, &watchers);
     let member = connect(others[0], "member", "").await;
     member
@@ -99,7 +99,7 @@
 /// proxy learns of the new primary from the record in the KV.
 #[tokio::test]
 async fn failover_reaches_proxies_that_do_not_watch() {
-    let (site, watchers) = start_site("duty-failover").await;
+    let (site, watchers) = start_site("watched-failover").await;
     let writer = Writer::start(others(&site, &watchers)[0], "w");
     tokio::time::sleep(OBSERVATION_PERIOD).await;
 
@@ -123,11 +123,11 @@
 
 /// A replica freezes, which a proxy that does not watch the group cannot know. Reads that it sends
 /// there, on an open connection or on a new one, must be retried on another server soon, and not
-/// after the 20 s or more of the connection and statement timeouts.
+/// only when the connection or statement timeout of at least 20 s has passed.
 #[tokio::test]
 async fn frozen_replica_does_not_delay_reads() {
     let long_timeouts = "[backend]\nconnect_timeout = \"20s\"\npool_wait = \"20s\"\n";
-    let (site, watchers) = start_site_with_settings("duty-frozen", long_timeouts).await;
+    let (site, watchers) = start_site_with_settings("watched-frozen", long_timeouts).await;
     let others = others(&site, &watchers);
     let warm = connect(others[0], "lookup", "").await;
     for _ in 0..10 {
@@ -152,7 +152,7 @@
 /// group.
 #[tokio::test]
 async fn dead_watcher_is_replaced() {
-    let (mut site, watchers) = start_site("duty-dead").await;
+    let (mut site, watchers) = start_site("watcher-dead").await;
     let dead = watchers[0];
     let record = dandelionpitch_core::keys::proxy(&site.proxies[dead].dc, &format!("proxy-{dead}"));
 
@@ -172,7 +172,7 @@
 /// the group when the heartbeat leases expire, and replace the primary within [`RECOVERY_TIMEOUT`].
 #[tokio::test]
 async fn all_watchers_and_the_primary_lost_at_once() {
-    let (mut site, watchers) = start_site("duty-all-dead").await;
+    let (mut site, watchers) = start_site("watchers-dead").await;
 
     for &dead in &watchers {
         site.proxies[dead].process.kill();
@@ -190,7 +190,7 @@
 /// group cannot read the new record. It must find the new primary by asking the servers.
 #[tokio::test]
 async fn failover_is_detected_without_the_kv() {
-    let (site, watchers) = start_site("duty-no-kv").await;
+    let (site, watchers) = start_site("watched-no-kv").await;
     let other = others(&site, &watchers)[0];
     let down = serde_json::json!({ "down": true });
     site.kv_fault(&other.dc, down).await;
--- a/crates/e2e/tests/bad_input.rs
+++ b/crates/e2e/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Invalid input from callers and operators is rejected with a clear error and harms nobody else.
+//! Invalid input from callers and operators is rejected with a clear error and does not affect
+//! others.
 
 mod fixture;
 
--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -115,7 +115,7 @@
 
 /// Replica 2 is partitioned, so only replica 1 has the latest writes when the primary dies, and
 /// replica 1 answers the claimant later. The claimant must wait for both and promote replica 1, as
-/// the other choice loses acknowledged writes.
+/// replica 2 lacks acknowledged writes.
 #[tokio::test]
 async fn most_advanced_replica_is_promoted() {
     let site = Site::build(&Layout::new("advanced", TWO_IN_ONE_DC)).await;
@@ -219,8 +219,8 @@
 }
 
 /// The claimant of term 2 is paused (SIGSTOP) before it promotes a server. The other proxy waits
-/// until the claim has expired and promotes at term 3. When the first resumes, the servers must
-/// reject its promotion: the term does not decrease and there is one primary.
+/// until the claim has expired and promotes at term 3. When the first proxy resumes, the servers
+/// must reject its promotion: the term does not decrease and there is one primary.
 #[tokio::test]
 async fn resumed_claimant_cannot_promote() {
     let site = Site::build(&Layout::new("paused", TWO_IN_ONE_DC)).await;
@@ -253,8 +253,8 @@
     index.parse().unwrap()
 }
 
-/// The primary freezes, with its connections open, and is replaced. When it thaws it still takes
-/// itself for the primary, and must not acknowledge the writes that it had received.
+/// The primary freezes, with its connections open, and is replaced. When it thaws it still considers
+/// itself primary, and must not acknowledge the writes that it had received.
 #[tokio::test]
 async fn primary_frozen_and_thawed() {
     let (site, writers) = start_site_with_writers("frozen", TWO_IN_ONE_DC).await;
--- a/crates/e2e/tests/failover/kv.rs
+++ b/crates/e2e/tests/failover/kv.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// The KV applies every write of the failover and loses each answer. The claimant reads the
-/// record back, finds its own claim, and goes on; nobody claims a second term.
+/// The KV applies every write of the failover and loses each answer. The claimant must read the
+/// record again, find its own claim and continue, instead of claiming another term.
 #[tokio::test]
 async fn kv_answers_lost_after_applying() {
     let site = Site::build(&Layout::new("kv-lost", TWO_IN_ONE_DC)).await;
@@ -14,18 +14,17 @@
 
     site.fault(1, "kill", 0, "").await;
     let record = site.wait_for_new_primary(1).await;
-    let exists = Instant::now();
+    let promoted_at = Instant::now();
     tokio::time::sleep(OBSERVATION_PERIOD).await;
-    let (attempts, broken) = stop_and_check(&site, writers, exists).await;
+    let (attempts, violations) = stop_and_check(&site, writers, promoted_at).await;
 
-    assert_eq!(broken, Violations::default());
-    history::assert_writes_resumed(&attempts, exists);
+    assert_eq!(violations, Violations::default());
+    history::assert_writes_resumed(&attempts, promoted_at);
     assert_eq!(record.term, 2);
 }
 
-/// The KV is down when the primary dies, so no term can be claimed and nobody is promoted;
-/// members are told "not run" after the wait they were promised. Once the KV is back, the
-/// failover goes through, at term 2.
+/// The KV is down when the primary dies, so no term can be claimed and no server is promoted. Writes
+/// are refused as not run. Once the KV is available again, the failover completes at term 2.
 #[tokio::test]
 async fn kv_down_during_failover() {
     let site = Site::build(&Layout::new("kv-down", TWO_IN_ONE_DC)).await;
@@ -35,22 +34,25 @@
 
     site.fault(1, "kill", 0, "").await;
     fixture::wait_for_no_primary(&site.proxies[0]).await;
-    let told = refusal(&member, &insert("order-1")).await;
+    let refused = refusal(&member, &insert("order-1")).await;
     let while_down = reported_primaries(&site, &[1, 2]).await;
     site.kv_fault("dc-1", serde_json::json!({})).await;
     let record = site.wait_for_new_primary(1).await;
     wait_for_writes(&site, 0, "order-2").await;
 
-    assert_eq!(told.as_deref(), Some("57P03"));
+    assert_eq!(refused.as_deref(), Some("57P03"));
     assert_eq!(while_down, []);
     assert_eq!(record.term, 2);
     let rows = history::read_log(&site.server(1).await).await;
-    assert!(!rows.contains_key("order-1"), "it was not run");
+    assert!(
+        !rows.contains_key("order-1"),
+        "the refused write was applied"
+    );
 }
 
-/// The KV goes down between the claim and the promotion. The claim stands, so the promotion
-/// goes on and members write again while the KV is still down; when it is back, the record is
-/// completed at the same term.
+/// The KV goes down between the claim and the promotion. The claim remains valid, so the promotion
+/// completes and writes are acknowledged while the KV is still down. Once the KV is available
+/// again, the record names the new primary at the same term.
 #[tokio::test]
 async fn kv_down_after_the_claim() {
     let site = Site::build(&Layout::new("kv-late", TWO_IN_ONE_DC)).await;
@@ -69,10 +71,10 @@
 
     assert_eq!((while_down.term, while_down.server), (2, None));
     assert_eq!(record.term, 2);
-    let leader = reported_primaries(&site, &[1, 2]).await;
-    assert_eq!(leader.len(), 1);
+    let primaries = reported_primaries(&site, &[1, 2]).await;
+    assert_eq!(primaries.len(), 1);
     assert_eq!(
         record.server.unwrap().to_string(),
-        site.servers()[leader[0].0]
+        site.servers()[primaries[0].0]
     );
 }
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of proxies, connections and operators. Faults of primaries are in `failover`.
+//! Faults of proxies and connections, draining servers and concurrent operators. Faults of
+//! primaries are in `failover`.
 
 mod fixture;
 
--- a/crates/e2e/tests/forwarding.rs
+++ b/crates/e2e/tests/forwarding.rs
@@ -10,9 +10,8 @@
 /// Too few connections for seven proxies, so that a single proxy owns them.
 const MAX_CONNECTIONS: usize = 8;
 
-/// Time limit for service to resume after the owner is lost. This is less than the 4 s after which
-/// the entry of the owner in the store expires, as another proxy serves statements that are
-/// forwarded to it before that.
+/// Time limit for service to resume after the owner is lost. Another proxy must serve forwarded
+/// statements before the owner's entry in the store expires, which takes at least 4 s.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts seven proxies of which one owns the connections; returns its index and that of another
@@ -71,7 +70,7 @@
 /// be rolled back.
 #[tokio::test]
 async fn disconnect_in_a_forwarded_transaction_rolls_back() {
-    let (site, _, other) = start_site("leaves-handed").await;
+    let (site, _, other) = start_site("disconnects").await;
     for _ in 0..20 {
         let mut caller = site.caller(other, LATEST);
         assert!(caller.query("BEGIN").is_done());
@@ -160,7 +159,7 @@
 }
 
 /// The owner of the connections gets SIGTERM. It serves forwarded statements until the other
-/// proxies know, so that no statement is refused.
+/// proxies know that it stops, so that no statement is refused.
 #[tokio::test]
 async fn graceful_shutdown_of_the_owner_refuses_nothing() {
     let (site, owner, other) = start_site("planned").await;
@@ -187,7 +186,7 @@
 /// members that they know.
 #[tokio::test]
 async fn expired_proxy_entries_are_ignored_while_the_store_is_down() {
-    let (site, _, other) = start_site("lapsed").await;
+    let (site, _, other) = start_site("expired").await;
     let mut caller = site.caller(other, LATEST);
 
     site.store_fault("down", true).await;
--- a/crates/e2e/tests/line_change_feed.rs
+++ b/crates/e2e/tests/line_change_feed.rs
@@ -6,7 +6,7 @@
 
 use fixture::line::{Site, LATEST, SESSION};
 
-/// More proxies than watch the store themselves.
+/// More proxies than relays, so that some are followers.
 const PROXIES: usize = 5;
 const RELAYS: usize = 2;
 
--- a/crates/e2e/tests/line_failovers.rs
+++ b/crates/e2e/tests/line_failovers.rs
@@ -77,10 +77,11 @@
     lost_items
 }
 
-/// A draining primary is replaced, and the new primary rejects the failover leader's requests from
-/// before the promotion takes effect. The failover leader only has its old status, that of a paused
-/// replica. It must conclude from the other servers, which follow the new term, that some server
-/// leads. A third server, if promoted, would lack the commits that the new primary acknowledges.
+/// A draining primary is replaced. The new primary is busy from before its promotion takes effect
+/// and rejects the failover leader's requests, so the failover leader only has its old status, that
+/// of a paused replica. It must conclude from the other servers, which follow the new term, that
+/// there is a primary. A third server, if promoted, would lack commits that the new primary
+/// acknowledges.
 #[tokio::test]
 async fn busy_new_primary_loses_no_acknowledged_commit() {
     let site = start_site("no-time").await;
--- a/crates/e2e/tests/line_faults.rs
+++ b/crates/e2e/tests/line_faults.rs
@@ -6,8 +6,9 @@
 
 use fixture::line::{rows, Answer, Site, FAILOVER_TIMEOUT, LATEST, SERVER_LIST_DELAY, SESSION};
 
-/// Longer than a server that is no longer registered counts for promotions: until the lists of all
-/// proxies that include it have expired, and the next status requests to the other servers.
+/// Longer than a server still counts for promotions once it is no longer registered: until the
+/// server lists of all proxies that include it have expired, and the other servers have answered
+/// the next status requests.
 const SERVER_REMOVAL_DELAY: Duration = Duration::from_millis(7_500);
 
 /// Time limit for the expiry of the failover leader's lease, the election of another and a
@@ -130,7 +131,7 @@
 /// failover leader would have to start again, and may be stopped too.
 #[tokio::test]
 async fn stopped_failover_leader_finishes_its_attempt() {
-    let site = Site::start("stopped-holder", 2).await;
+    let site = Site::start("stopped-leader", 2).await;
     let failover_leader = site.failover_leader().await;
     let mut caller = site.caller(1 - failover_leader, LATEST);
     assert!(caller.query("PUT a one").is_done());
--- a/crates/e2e/tests/line_restarts.rs
+++ b/crates/e2e/tests/line_restarts.rs
@@ -5,8 +5,8 @@
 use fixture::line::{rows, Site, FAILOVER_TIMEOUT, LATEST, SERVER_LIST_DELAY, SESSION};
 
 /// Only the primary and replica 1 have an acknowledged commit. Replica 1 restarts empty and the
-/// primary is lost. The two replicas are a majority, but neither has the commit, so none may
-/// be promoted until the primary is back.
+/// primary is lost. The two replicas are a majority, but neither has the commit, so neither
+/// may be promoted until the primary is back.
 #[tokio::test]
 async fn replica_restarted_empty_does_not_count_for_promotion() {
     let site = Site::start("empty", 2).await;
@@ -35,7 +35,7 @@
 /// not be used, and the caller's reads must succeed.
 #[tokio::test]
 async fn connections_to_an_earlier_incarnation_are_not_used() {
-    let site = Site::start("lives", 1).await;
+    let site = Site::start("incarnations", 1).await;
     let mut caller = site.caller(0, SESSION);
     assert!(caller.query("PUT a one").is_done());
     for _ in 0..10 {
--- a/crates/e2e/tests/line_standin.rs
+++ b/crates/e2e/tests/line_standin.rs
@@ -28,7 +28,7 @@
     Site::start_with(name, 0, &arguments).await
 }
 
-/// Role, term, position and pause term.
+/// The role, term, log position and pause term in the answer to `STATUS`.
 fn parse_status(answer: &Answer) -> Vec<String> {
     let row = rows(answer)[0];
     row.split(' ').take(4).map(str::to_owned).collect()
--- a/crates/e2e/tests/membership.rs
+++ b/crates/e2e/tests/membership.rs
@@ -130,8 +130,8 @@
     assert!(has_row(&site, "order-1").await);
 }
 
-/// A bundle removes the primary. It must be replaced, as replicas still hear from it but no proxy
-/// writes to it.
+/// A bundle removes the primary. No proxy writes to it any more, so it must be replaced although
+/// replicas still receive from it.
 #[tokio::test]
 async fn removed_primary_is_replaced() {
     let site = Site::build(&Layout::new("primary-out", TWO_IN_ONE_DC)).await;
--- a/crates/e2e/tests/restores.rs
+++ b/crates/e2e/tests/restores.rs
@@ -12,11 +12,11 @@
 const SNAPSHOT_AGE: Duration = Duration::from_millis(1_500);
 /// The number of versions lost in a restore; many, so that the KV's revision decreases far.
 const LOST_VERSIONS: u64 = 20;
-const THREE: &[&str] = &["dc-1", "dc-1", "dc-1"];
+const THREE_IN_ONE_DC: &[&str] = &["dc-1", "dc-1", "dc-1"];
 
 /// Starts a site and waits until the KV has a snapshot of it.
 async fn start_site(name: &str) -> Site {
-    let site = Site::build(&Layout::new(name, THREE)).await;
+    let site = Site::build(&Layout::new(name, THREE_IN_ONE_DC)).await;
     tokio::time::sleep(SNAPSHOT_AGE).await;
     site
 }
@@ -96,7 +96,7 @@
 /// record.
 #[tokio::test]
 async fn group_without_a_record_after_a_restore_fails_over() {
-    let site = Site::build(&Layout::new("kv-restore-none", THREE)).await;
+    let site = Site::build(&Layout::new("kv-restore-none", THREE_IN_ONE_DC)).await;
     write(&site, 0, "order-1").await;
 
     site.restore_kv(Duration::from_secs(60)).await;
--- a/crates/e2e/tests/smoke.rs
+++ b/crates/e2e/tests/smoke.rs
@@ -67,7 +67,7 @@
         .as_array()
         .unwrap()
         .iter()
-        .any(|figure| figure["name"] == "reads" && figure["attributes"][0][1] == "replica");
+        .any(|sample| sample["name"] == "reads" && sample["attributes"][0][1] == "replica");
     assert!(replica_reads, "{metrics}");
 }
 
--- a/crates/e2e/tests/sweep_table.rs
+++ b/crates/e2e/tests/sweep_table.rs
@@ -1,4 +1,4 @@
-//! `scripts/sweep-table` makes the tables of docs/CAPACITY.md from recorded sweeps.
+//! `scripts/sweep-table` makes the tables of docs/CAPACITY.md from recorded load sweeps.
 
 use std::{
     path::{Path, PathBuf},
--- a/crates/e2e/tests/terms.rs
+++ b/crates/e2e/tests/terms.rs
@@ -67,12 +67,12 @@
 }
 
 /// A proxy claims term 2 and is paused before it has fenced a server. The claim expires, the
-/// primary dies and is replaced, and then the claimant resumes. If the record had gone back to term
-/// 1, the replacement would have term 2 too. The claimant would promote a second primary at that
+/// primary dies and is replaced, and then the claimant resumes. If the record went back to term 1,
+/// the replacement would have term 2 too. The claimant would then promote a second primary at that
 /// term, whose commits overwrite those of the first.
 #[tokio::test]
 async fn expired_claim_reserves_its_term() {
-    let site = Site::build(&Layout::new("lapsed", &["dc-1", "dc-1"])).await;
+    let site = Site::build(&Layout::new("expired", &["dc-1", "dc-1"])).await;
     wait_for_recorded_primary(&site).await;
 
     let claimed = claim(&site).await;
