--- a/crates/e2e/benches/data_path.rs
+++ b/crates/e2e/benches/data_path.rs
@@ -1,5 +1,5 @@
-//! Measures the resource use of a proxy: memory per open session and CPU time per statement. Fails if
-//! a value exceeds its regression bound.
+//! Measures the resource use of a proxy: memory per open session and CPU time per statement. Fails
+//! if a value exceeds its regression bound.
 //!
 //! Run with `cargo bench -p dandelionpitch-e2e --bench data_path`.
 
@@ -41,8 +41,8 @@
     ticks / CLOCK_TICKS_PER_SEC * 1e6
 }
 
-/// Memory per session in KB: the growth from the lowest to the highest number of sessions, divided by
-/// the number of sessions in between.
+/// Memory per session in KB: the growth from the lowest to the highest number of sessions, divided
+/// by the number of sessions in between.
 async fn kb_per_session(site: &Site) -> f64 {
     let proxy = &site.proxies[0];
     let mut open = Vec::new();
@@ -63,8 +63,8 @@
     (last.1 - first.1) / (last.0 - first.0)
 }
 
-/// CPU time of the proxy per statement, in microseconds. `text` returns the statement for the numbers
-/// of a caller and of a statement.
+/// CPU time of the proxy per statement, in microseconds. `text` returns the statement for the
+/// numbers of a caller and of a statement.
 async fn cpu_us_per_statement(site: &Site, user: &str, text: fn(usize, usize) -> String) -> f64 {
     let proxy = &site.proxies[0];
     let before = cpu_time_us(&proxy.process);
--- a/crates/e2e/benches/read_path.rs
+++ b/crates/e2e/benches/read_path.rs
@@ -1,6 +1,6 @@
-//! Compares the read latency through a proxy with that of a direct connection, and measures the share
-//! of reads served by replicas in a mix of one insert by a `member` session to nine reads by a `lookup`
-//! session, which accepts stale data. Fails if a value exceeds its regression bound.
+//! Compares the read latency through a proxy with that of a direct connection, and measures the
+//! share of reads served by replicas in a mix of one insert by a `member` session to nine reads by
+//! a `lookup` session, which accepts stale data. Fails if a value exceeds its regression bound.
 //!
 //! Run with `cargo bench -p dandelionpitch-e2e --bench read_path`.
 
--- a/crates/e2e/tests/failover.rs
+++ b/crates/e2e/tests/failover.rs
@@ -253,8 +253,8 @@
     index.parse().unwrap()
 }
 
-/// The primary freezes, with its connections open, and is replaced. When it thaws it still considers
-/// itself primary, and must not acknowledge the writes that it had received.
+/// The primary freezes, with its connections open, and is replaced. When it thaws it still
+/// considers itself primary, and must not acknowledge the writes that it had received.
 #[tokio::test]
 async fn primary_frozen_and_thawed() {
     let (site, writers) = start_site_with_writers("frozen", TWO_IN_ONE_DC).await;
--- a/crates/e2e/tests/failover/kv.rs
+++ b/crates/e2e/tests/failover/kv.rs
@@ -23,8 +23,8 @@
     assert_eq!(record.term, 2);
 }
 
-/// The KV is down when the primary dies, so no term can be claimed and no server is promoted. Writes
-/// are refused as not run. Once the KV is available again, the failover completes at term 2.
+/// The KV is down when the primary dies, so no term can be claimed and no server is promoted.
+/// Writes are refused as not run. Once the KV is available again, the failover completes at term 2.
 #[tokio::test]
 async fn kv_down_during_failover() {
     let site = Site::build(&Layout::new("kv-down", TWO_IN_ONE_DC)).await;
--- a/crates/e2e/tests/soak.rs
+++ b/crates/e2e/tests/soak.rs
@@ -1,11 +1,12 @@
-//! Soak tests: the real binaries run as separate processes under continuous load, while overlapping faults
-//! drawn from a seed are injected. The answers to callers are checked against the servers' logs.
+//! Soak tests: the real binaries run as separate processes under continuous load, while overlapping
+//! faults drawn from a seed are injected. The answers to callers are checked against the servers'
+//! logs.
 //!
-//! `DP_SOAK_SEEDS=7,100-149 cargo test -p dandelionpitch-e2e --test soak` runs other seeds than those below.
-//! A seed that fails prints its faults; add it to `SEEDS` with a line on the failure it found.
-//! `DP_SOAK_SERIES` selects the seeds of the plan in which server faults overlap. `DP_SOAK_RESTORES` and
-//! `DP_SOAK_SERIES_RESTORES` select those of the two plans with restores of the store. If `DP_SOAK_LOGS`
-//! names a folder, the complete log of a failed seed is written there.
+//! `DP_SOAK_SEEDS=7,100-149 cargo test -p dandelionpitch-e2e --test soak` runs other seeds than
+//! those below. A seed that fails prints its faults; add it to `SEEDS` with a line on the failure
+//! it found. `DP_SOAK_SERIES` selects the seeds of the plan in which server faults overlap.
+//! `DP_SOAK_RESTORES` and `DP_SOAK_SERIES_RESTORES` select those of the two plans with restores of
+//! the store. If `DP_SOAK_LOGS` names a folder, the complete log of a failed seed is written there.
 
 #[path = "soak/caller.rs"]
 mod caller;
@@ -26,15 +27,16 @@
 use injector::Injector;
 use plan::{Plan, Step, PROXIES};
 
-/// Seed 2: a primary restarts with an empty log, but is still read while its lease is valid, and its log
-/// position counts as one that reads must reach. Seed 27: a resumed proxy runs a write after later ones,
-/// although its caller has been told that the outcome is unknown; the read check must accept this.
+/// Seed 2: a primary restarts with an empty log, but is still read while its lease is valid, and
+/// its log position counts as one that reads must reach. Seed 27: a resumed proxy runs a write
+/// after later ones, although its caller has been told that the outcome is unknown; the read check
+/// must accept this.
 const SEEDS: &str = "1-3,27";
 
-/// These seeds guard against a needless second failover: the failover leader has no status of the promoted
-/// server from after the promotion, sees no primary, makes the previous primary, now a replica, step down,
-/// and promotes a third server that lacks commits of the current primary. `line_failovers.rs` tests the same
-/// deterministically.
+/// These seeds guard against a needless second failover: the failover leader has no status of the
+/// promoted server from after the promotion, sees no primary, makes the previous primary, now a
+/// replica, step down, and promotes a third server that lacks commits of the current primary.
+/// `line_failovers.rs` tests the same deterministically.
 const SERIES_SEEDS: &str = "8,10,24";
 
 const RESTORED_SEEDS: &str = "1-2";
@@ -45,7 +47,8 @@
 /// Time limit for every proxy to serve writes after the end of the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Whether the store keeps its data, or is also restored from snapshots during the faults of a plan.
+/// Whether the store keeps its data, or is also restored from snapshots during the faults of a
+/// plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Store {
     Lasting,
@@ -92,8 +95,8 @@
     (violations, shared.statements())
 }
 
-/// Describes a failed seed: its faults, the writes of unknown outcome, and the log lines about failovers.
-/// Writes the complete log if `DP_SOAK_LOGS` is set.
+/// Describes a failed seed: its faults, the writes of unknown outcome, and the log lines about
+/// failovers. Writes the complete log if `DP_SOAK_LOGS` is set.
 fn describe_failure(
     injector: &Injector,
     name: &str,
@@ -170,30 +173,30 @@
     assert_eq!(series, [3_890_872, 2_326_357, 3_467_421]);
 }
 
-/// Guards against lost, duplicated or partly applied writes, stale reads and slow recovery when faults of
-/// proxies, the store and one server at a time overlap.
+/// Guards against lost, duplicated or partly applied writes, stale reads and slow recovery when
+/// faults of proxies, the store and one server at a time overlap.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_under_random_faults() {
     run_seeds(Plan::Single, Store::Lasting, "DP_SOAK_SEEDS", SEEDS).await;
 }
 
-/// Guards against a failover that loses acknowledged writes, when failovers follow each other and further
-/// servers have faults meanwhile. Refusals are allowed during the faults.
+/// Guards against a failover that loses acknowledged writes, when failovers follow each other and
+/// further servers have faults meanwhile. Refusals are allowed during the faults.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_server_faults_overlap() {
     run_seeds(Plan::Series, Store::Lasting, "DP_SOAK_SERIES", SERIES_SEEDS).await;
 }
 
-/// Guards against the same failures as `guarantees_hold_under_random_faults`, when the store is also restored
-/// from outdated snapshots.
+/// Guards against the same failures as `guarantees_hold_under_random_faults`, when the store is
+/// also restored from outdated snapshots.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_the_store_is_restored() {
     let seeds = RESTORED_SEEDS;
     run_seeds(Plan::Single, Store::Restored, "DP_SOAK_RESTORES", seeds).await;
 }
 
-/// Guards against the same failures as `guarantees_hold_when_server_faults_overlap`, when the store is also
-/// restored from outdated snapshots.
+/// Guards against the same failures as `guarantees_hold_when_server_faults_overlap`, when the store
+/// is also restored from outdated snapshots.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_when_restores_overlap_failovers() {
     let seeds = RESTORED_SEEDS;
--- a/crates/e2e/tests/soak/caller.rs
+++ b/crates/e2e/tests/soak/caller.rs
@@ -119,8 +119,9 @@
     }
 }
 
-/// Runs one caller until it is stopped. It writes its items in single statements and in transactions,
-/// and reads its own item and its neighbour's. Returns the replies by the number of the write.
+/// Runs one caller until it is stopped. It writes its items in single statements and in
+/// transactions, and reads its own item and its neighbour's. Returns the replies by the number of
+/// the write.
 pub fn run(index: usize, shared: &Shared) -> BTreeMap<u64, Reply> {
     let database = match index % 2 {
         0 => LATEST,
@@ -189,8 +190,8 @@
     (outcome(commit.as_ref()), ended)
 }
 
-/// Reads the caller's own item and, on a database with linearizable reads, its neighbour's, and reports
-/// stale reads. Returns `false` if the connection has ended.
+/// Reads the caller's own item and, on a database with linearizable reads, its neighbour's, and
+/// reports stale reads. Returns `false` if the connection has ended.
 fn check_reads(caller: &mut Caller, index: usize, database: &str, shared: &Shared) -> bool {
     let neighbour = (index + 1) % CALLERS;
     let items = match database {
--- a/crates/e2e/tests/soak/check.rs
+++ b/crates/e2e/tests/soak/check.rs
@@ -32,12 +32,12 @@
     }
 }
 
-/// Time limit of a failover that is still in progress when all proxies serve writes again: twice the
-/// time for an attempt, the wait before the promotion call, and the promotion to take effect.
+/// Time limit of a failover that is still in progress when all proxies serve writes again: twice
+/// the time for an attempt, the wait before the promotion call, and the promotion to take effect.
 const PRIMARY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Waits for a primary and returns the group's state. Without a primary, for example while a failover
-/// has made the old one step down, there is no log to check.
+/// Waits for a primary and returns the group's state. Without a primary, for example while a
+/// failover has made the old one step down, there is no log to check.
 async fn wait_for_primary(site: &Site) -> Option<Value> {
     let started_at = Instant::now();
     while started_at.elapsed() < PRIMARY_TIMEOUT {
@@ -50,8 +50,8 @@
     None
 }
 
-/// Checks the callers' replies against the log of the final primary and, for acknowledged writes, the
-/// log of every promoted server at its promotion. Returns a description of each violation.
+/// Checks the callers' replies against the log of the final primary and, for acknowledged writes,
+/// the log of every promoted server at its promotion. Returns a description of each violation.
 pub async fn find_violations(site: &Site, replies: &[BTreeMap<u64, Reply>]) -> Vec<String> {
     let Some(group) = wait_for_primary(site).await else {
         return vec![format!("no primary within {PRIMARY_TIMEOUT:?}")];
@@ -79,7 +79,8 @@
 }
 
 /// Finds writes that were acknowledged before a promotion took effect and that the promoted server
-/// lacks. The final log does not show all of them, as a later promotion may bring such a write back.
+/// lacks. The final log does not show all of them, as a later promotion may bring such a write
+/// back.
 async fn lost_by_promotions(site: &Site, replies: &[BTreeMap<u64, Reply>]) -> Vec<String> {
     let promotions = site.promotions().await;
     let mut lost = Vec::new();
--- a/crates/e2e/tests/soak/plan.rs
+++ b/crates/e2e/tests/soak/plan.rs
@@ -1,5 +1,5 @@
-//! The plans of a soak test, which draw faults from a seed, and the plan in which faults of servers do not
-//! overlap.
+//! The plans of a soak test, which draw faults from a seed, and the plan in which faults of servers
+//! do not overlap.
 
 use std::time::Duration;
 
@@ -32,13 +32,14 @@
     ServerRestartedEmpty(usize),
     /// A fault of a server chosen relative to the primary. Drawn by [`series`] only.
     Targeted(Target, ServerFault),
-    /// The next server to be promoted is overloaded from the promotion call on, for the duration of the
-    /// fault. Drawn by [`series`] only.
+    /// The next server to be promoted is overloaded from the promotion call on, for the duration of
+    /// the fault. Drawn by [`series`] only.
     NextPrimaryOverloaded,
     StoreDown,
     /// The store discards its change history.
     StoreCompacted,
-    /// The store is down, and then restored from a snapshot of this age. Drawn by [`add_restores`] only.
+    /// The store is down, and then restored from a snapshot of this age. Drawn by [`add_restores`]
+    /// only.
     StoreRestored(Duration),
     /// A new version of the configuration is published.
     ConfigurationPublished,
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Whether this is a fault of a server. Two such faults at once could destroy all copies of a commit.
+    /// Whether this is a fault of a server. Two such faults at once could destroy all copies of a
+    /// commit.
     pub fn affects_server(self) -> bool {
         matches!(
             self,
@@ -98,14 +100,15 @@
     }
 }
 
-/// How the faults of a seed are drawn. Seeds are kept as regression tests, so a plan must always draw the
-/// same faults for the same seed.
+/// How the faults of a seed are drawn. Seeds are kept as regression tests, so a plan must always
+/// draw the same faults for the same seed.
 #[derive(Clone, Copy, Debug)]
 pub enum Plan {
-    /// At most one server has a fault at a time. A promotion is in effect when its call is answered.
+    /// At most one server has a fault at a time. A promotion is in effect when its call is
+    /// answered.
     Single,
-    /// Faults of servers overlap and cause series of failovers. A promotion takes effect some time after
-    /// its call.
+    /// Faults of servers overlap and cause series of failovers. A promotion takes effect some time
+    /// after its call.
     Series,
 }
 
@@ -118,8 +121,8 @@
         }
     }
 
-    /// Arguments for the stand-in: when a promotion takes effect, and when an old primary that has reached
-    /// the new one steps down.
+    /// Arguments for the stand-in: when a promotion takes effect, and when an old primary that has
+    /// reached the new one steps down.
     pub fn standin_arguments(self) -> &'static [&'static str] {
         match self {
             Self::Single => &[],
@@ -152,8 +155,8 @@
     steps
 }
 
-/// Whether one seed may have both faults: faults of servers, of the same proxy and outages of the store
-/// must not overlap.
+/// Whether one seed may have both faults: faults of servers, of the same proxy and outages of the
+/// store must not overlap.
 pub fn are_compatible(a: &Step, b: &Step) -> bool {
     let apart = |gap: Duration| a.begins > b.ends + gap || b.begins > a.ends + gap;
     let proxy = |fault| match fault {
@@ -177,8 +180,8 @@
 /// How long the store is down before a restore.
 const OUTAGE_MS: std::ops::Range<u64> = 50..900;
 
-/// Draws restores of the store and inserts them into `steps`, the faults of the same seed. They use a
-/// random generator of their own, so that a seed draws the same faults with and without restores.
+/// Draws restores of the store and inserts them into `steps`, the faults of the same seed. They use
+/// a random generator of their own, so that a seed draws the same faults with and without restores.
 pub fn add_restores(seed: u64, steps: &mut Vec<Step>) {
     let mut rng = StdRng::seed_from_u64(!seed);
     let last = steps.iter().map(|step| step.begins).max();
--- a/crates/e2e/tests/soak/series.rs
+++ b/crates/e2e/tests/soak/series.rs
@@ -1,8 +1,8 @@
-//! The faults of a soak test in which faults of servers overlap and cause series of failovers, drawn from a
-//! seed.
+//! The faults of a soak test in which faults of servers overlap and cause series of failovers,
+//! drawn from a seed.
 //!
-//! A fault names its server relative to the primary at the time the fault begins, so that a second failover
-//! affects the server that has just been promoted.
+//! A fault names its server relative to the primary at the time the fault begins, so that a second
+//! failover affects the server that has just been promoted.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 /// Time between the starts of two series.
 const SERIES_DURATION_MS: u64 = 3_800;
 
-/// Time from the cause of the first failover of a series to that of the second, which comes before, while or
-/// after the first takes effect.
+/// Time from the cause of the first failover of a series to that of the second, which comes before,
+/// while or after the first takes effect.
 const SECOND_FAILOVER_DELAY_MS: std::ops::Range<u64> = 300..2_600;
 
 /// Probability that the server of a promotion call is overloaded from that call on.
@@ -110,8 +110,8 @@
 
 /// Draws the faults of a seed, ordered by when they begin.
 ///
-/// At most one server loses its log. Acknowledged commits are on two servers, so one copy always remains and
-/// every lost commit is a violation.
+/// At most one server loses its log. Acknowledged commits are on two servers, so one copy always
+/// remains and every lost commit is a violation.
 pub fn draw(seed: u64) -> Vec<Step> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut steps = Vec::new();
