--- a/crates/e2e/tests/forwarding.rs
+++ b/crates/e2e/tests/forwarding.rs
@@ -182,8 +182,8 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// The store is down until the proxies' entries there have expired. The proxies must go on with the
-/// members that they know.
+/// The store is down for so long that entries of proxies there expire. The proxies must go on with
+/// the members that they know.
 #[tokio::test]
 async fn expired_proxy_entries_are_ignored_while_the_store_is_down() {
     let (site, _, other) = start_site("expired").await;
--- a/crates/e2e/tests/trace.rs
+++ b/crates/e2e/tests/trace.rs
@@ -10,7 +10,8 @@
 
 use fixture::line::{Answer, Site, LATEST, URGENT};
 
-/// The connections that one proxy opens to each server of the site, which has five slots.
+/// The number of connections that one proxy opens to each server. The site's servers run up to five
+/// statements at a time.
 const CONNECTIONS_PER_SERVER: usize = 15;
 
 /// Writes the log lines of proxy 0 to a file.
