--- a/crates/e2e/tests/membership.rs
+++ b/crates/e2e/tests/membership.rs
@@ -114,8 +114,8 @@
     assert_eq!(site.primary_index(&record), 1);
 }
 
-/// A removed server is not stopped and goes on acknowledging commits alone. A later promotion must
-/// not lose them.
+/// A removed server is not stopped, and later it is the only replica that acknowledges commits. A
+/// promotion must not lose them.
 #[tokio::test]
 async fn removed_server_that_still_replicates_counts() {
     let site = Site::build(&Layout::new("still-replicates", TWO_IN_ONE_DC)).await;
