--- a/crates/e2e/benches/read_path.rs
+++ b/crates/e2e/benches/read_path.rs
@@ -1,6 +1,6 @@
-//! Compares the read latency through a proxy with that of a direct connection, and measures the share
-//! of reads served by replicas in a mix of one insert by a `member` session to nine reads by a `lookup`
-//! session, which accepts stale data. Fails if a value exceeds its regression bound.
+//! Compares the read latency through a proxy with that of a direct connection, and measures the
+//! share of reads served by replicas in a mix of one insert by a `member` session to nine reads by
+//! a `lookup` session, which accepts stale data. Fails if a value exceeds its regression bound.
 //!
 //! Run with `cargo bench -p dandelionpitch-e2e --bench read_path`.
 
@@ -60,8 +60,8 @@
             .as_array()
             .unwrap()
             .iter()
-            .filter(|f| f["name"] == "reads" && f["attributes"][0][1] == target)
-            .map(|f| f["value"].as_f64().unwrap())
+            .filter(|sample| sample["name"] == "reads" && sample["attributes"][0][1] == target)
+            .map(|sample| sample["value"].as_f64().unwrap())
             .sum::<f64>()
     };
     (count("replica"), count("primary"))
