--- a/crates/proxy/benches/control.rs
+++ b/crates/proxy/benches/control.rs
@@ -1,4 +1,4 @@
-//! Control side costs at the design size (`docs/CAPACITY.md`): assigning groups to proxies, parsing
+//! Control plane costs at the design size (`docs/CAPACITY.md`): assigning groups to proxies, parsing
 //! a bundle, and the memory of idle pools. Fails if a cost exceeds its regression bound.
 //!
 //! Run with `cargo bench -p dandelionpitch-proxy`.
@@ -14,7 +14,7 @@
     control::assignment::{Member, Roster},
     pool,
 };
-use measure::{median, resident};
+use measure::{median, resident_kb};
 
 const PROXIES: usize = 3_400;
 const DCS: usize = 15;
@@ -49,14 +49,14 @@
 /// The memory in KB of a pool without connections.
 fn pool_kb() -> f64 {
     let config = Config::load(None).expect("the embedded settings");
-    let before = resident();
+    let before = resident_kb();
     let pools: Vec<_> = (0..3 * GROUPS)
         .map(|index| {
             let address = ([10, 0, (index / 250) as u8, (index % 250) as u8], 5432).into();
             pool::build(address, "g", 8, &config)
         })
         .collect();
-    (resident() - before) / pools.len() as f64
+    (resident_kb() - before) / pools.len() as f64
 }
 
 fn main() {
@@ -80,13 +80,13 @@
 
     let pool = pool_kb();
     println!(
-        "pool: {pool:.2} KB a server, {:.1} MB for all",
+        "pool: {pool:.2} KB per server, {:.1} MB for all",
         pool * 3.0 * GROUPS as f64 / 1024.0
     );
     println!(
-        "duty: {assign:.1?} for {GROUPS} groups over {PROXIES} proxies, {watched_count} to watch"
+        "assignment: {assign:.1?} for {GROUPS} groups over {PROXIES} proxies, {watched_count} to watch"
     );
-    println!("bundle: {} KB, {parse:.1?} to read", text.len() / 1024);
+    println!("bundle: {} KB, {parse:.1?} to parse", text.len() / 1024);
     assert!(
         assign <= ASSIGNMENT_BOUND,
         "assignment takes longer than its bound"
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -15,7 +15,7 @@
     clock,
     group::Group,
     peers::Peers,
-    traffic::call::{pool_failure, Call, Failure, RETRY_PAUSE},
+    traffic::call::{pool_failure, Call, Failure, RETRY_DELAY},
 };
 
 /// The server's VM is probed after this multiple of the server's mean latency without an answer.
@@ -89,7 +89,7 @@
     if !backend.takes_work(clock::now()) {
         checkout.release();
         let why = "the server is about to stop";
-        return Ok(Err(Failure::NotRun(call.busy(why, RETRY_PAUSE))));
+        return Ok(Err(Failure::NotRun(call.busy(why, RETRY_DELAY))));
     }
     let connection = checkout.connection();
     let why = tokio::select! {
@@ -104,14 +104,15 @@
     };
     // The statement was not sent yet.
     backend.avoid();
-    Ok(Err(Failure::NotRun(call.busy(&why, RETRY_PAUSE))))
+    Ok(Err(Failure::NotRun(call.busy(&why, RETRY_DELAY))))
 }
 
 /// Sends the statement and reads its answer. If there is no answer in time, or the server's VM is
 /// unreachable, closes the connection and returns the reason.
 ///
-/// The timeout is usually shorter than that of the route. Answers that a server loses would otherwise
-/// block its few connections, and a transaction could not be repeated within its caller's deadline.
+/// The timeout is usually shorter than that of the route. Otherwise a statement whose answer is
+/// lost would occupy one of the server's few connections for longer, and a transaction could not be
+/// repeated within its caller's deadline.
 pub async fn exchange(
     mut checkout: Checkout,
     backend: &Backend,
@@ -126,6 +127,7 @@
     let timeout = (backend.latency() * TIMEOUT_LATENCY_FACTOR)
         .max(min_timeout)
         .min(call.remaining());
+    // The reasons are also metric labels, up to the first colon, and must not change.
     let result = {
         let sent = execute(checkout.connection(), call.statement(), condition);
         tokio::select! {
