--- a/crates/e2e/benches/failover.rs
+++ b/crates/e2e/benches/failover.rs
@@ -1,6 +1,6 @@
 //! Measures the longest time without an acknowledged write when the primary is killed, and when its
-//! data centre is partitioned while it still considers itself primary. Every round has a site of
-//! its own. Fails if a gap exceeds its regression bound or a guarantee is violated.
+//! data centre is partitioned while it still considers itself primary. Fails if a gap exceeds its
+//! regression bound or a guarantee is violated.
 //!
 //! Run with `cargo bench -p dandelionpitch-e2e --bench failover`.
 
--- a/crates/e2e/tests/line_failovers.rs
+++ b/crates/e2e/tests/line_failovers.rs
@@ -77,11 +77,9 @@
     lost_items
 }
 
-/// A draining primary is replaced. The new primary is busy from before its promotion takes effect
-/// and rejects the failover leader's requests, so the failover leader only has its old status, that
-/// of a paused replica. It must conclude from the other servers, which follow the new term, that
-/// there is a primary. A third server, if promoted, would lack commits that the new primary
-/// acknowledges.
+/// Guards against the promotion of a third server, which lacks acknowledged commits, when a newly
+/// promoted primary is too busy to answer the failover leader. The other servers, which follow the
+/// new term, prove that there is a primary.
 #[tokio::test]
 async fn busy_new_primary_loses_no_acknowledged_commit() {
     let site = start_site("no-time").await;
--- a/crates/proxy/src/backend.rs
+++ b/crates/proxy/src/backend.rs
@@ -46,8 +46,7 @@
 /// Connection options for the server at `address`.
 ///
 /// TCP keepalive and the TCP user timeout close a connection within seconds if a device on the
-/// network path has dropped its state. Such a connection stays silent, although new connections to
-/// the server work.
+/// network path has dropped its state. It would otherwise stay silent although new ones work.
 pub fn options(address: SocketAddr, database: &str, config: &Config) -> tokio_postgres::Config {
     let mut options = tokio_postgres::Config::new();
     options
@@ -130,13 +129,12 @@
     query_position(client, "SHOW dandelionpitch.position", limit).await
 }
 
-/// The log position of a server that is confirmed to be primary; a superseded one returns an
-/// error or does not answer.
+/// The log position of a server that is confirmed to be primary; a superseded one returns an error
+/// or does not answer.
 ///
-/// A partitioned primary still considers itself primary, but its position may be below writes
-/// that its successor acknowledged. The server therefore answers only after enough replicas have
-/// accepted it as their primary since the request arrived, and replicas that have accepted a later
-/// term do not accept it.
+/// The position of a partitioned primary may be below writes that its successor acknowledged. The
+/// server therefore answers only after enough replicas have accepted it as their primary since the
+/// request arrived, and replicas that have accepted a later term do not.
 pub async fn barrier(client: &Client, limit: Duration) -> Result<Position, Error> {
     query_position(client, "SELECT dandelionpitch_barrier()", limit).await
 }
--- a/crates/proxy/src/control/assignment.rs
+++ b/crates/proxy/src/control/assignment.rs
@@ -1,10 +1,8 @@
-//! The assignment of groups to the proxies that watch them. A watcher polls the status of the
-//! group's servers and replaces a failed primary.
+//! Assigns groups to watchers: proxies that poll the group's servers and replace a failed primary.
 //!
-//! If every proxy polled every server, the load would grow with proxies times servers
-//! (`docs/CAPACITY.md`). Each group therefore has a few watchers, chosen by rendezvous hashing
-//! over the live proxies: proxies with the same member list choose the same watchers, and a proxy
-//! that joins or leaves changes the watchers of only those groups that it watches.
+//! Each group has only a few watchers, as the load would otherwise grow with proxies times servers
+//! (`docs/CAPACITY.md`). With rendezvous hashing, proxies with the same member list choose the same
+//! watchers, and a proxy that joins or leaves affects only the groups that it watches.
 
 use std::{
     cmp::Reverse,
@@ -58,11 +56,8 @@
     }
 
     /// Applies a complete list read at `now`. Proxies missing from it still count for
-    /// [`MISSING_TIMEOUT`].
-    ///
-    /// If a KV outage outlasts the leases, the first list after it has only the proxies that have
-    /// renewed since, and those few would watch every group. A proxy is therefore removed only when
-    /// its lease expires while the KV is available, or when it stays missing for the timeout.
+    /// [`MISSING_TIMEOUT`]: the first list after a KV outage that outlasts the leases has only the
+    /// proxies that have renewed since, and those few would otherwise watch every group.
     pub fn replace(&mut self, members: Vec<Member>, now: Instant) {
         let listed: Set<&Member> = members.iter().collect();
         let known = self.dcs.values().flatten().map(|entry| &entry.member);
--- a/crates/proxy/src/control/decision.rs
+++ b/crates/proxy/src/control/decision.rs
@@ -41,14 +41,12 @@
 
 /// Evaluates `group`, whose current primary was first seen at `leader_since`.
 ///
-/// A primary counts as failed only if a quorum of replicas report that they have not heard from it
-/// for `max_silence`, so a proxy that is itself partitioned from a healthy primary does not replace
-/// it. Whether this proxy reaches the primary does not matter: without those replicas, the primary
-/// cannot commit.
+/// A primary counts as failed only if a quorum of replicas have not heard from it for
+/// `max_silence`, so a proxy that is itself partitioned does not replace a healthy primary. Whether
+/// this proxy reaches the primary does not matter: without those replicas, it cannot commit.
 ///
-/// Statuses read before a promotion still report the silence of the old primary. They are ignored
-/// for `grace` after the new primary was recorded or first seen, so that it is not replaced in
-/// turn.
+/// Statuses read before a promotion still report the silence of the old primary, so they are
+/// ignored for `grace` after the new one was recorded or first seen.
 pub fn evaluate(
     group: &Group,
     leader_since: Option<Instant>,
@@ -94,12 +92,10 @@
         .count()
 }
 
-/// Compares the group's record with its primary `server` at `term`.
-///
 /// A claimant can be paused before any server has accepted its term. If its expired claim were
 /// replaced by the primary's lower term, the next claimant would get the same term, and two
-/// primaries with that term could overwrite each other's commits. The record's term therefore
-/// never decreases: a later term is claimed, at which the servers refuse the paused claimant.
+/// primaries with that term could overwrite each other's commits. The record's term therefore never
+/// decreases: a later term is claimed, at which the servers refuse the paused claimant.
 fn compare_record(group: &Group, term: u64, server: SocketAddr) -> Decision {
     let record = group.stored.as_ref().map(|stored| &stored.record);
     match record {
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -194,8 +194,7 @@
             })
     }
 
-    /// How long a decision must be stable before this proxy acts on it. The jitter is constant per
-    /// proxy and group.
+    /// How long a decision must be stable before this proxy acts on it.
     ///
     /// A record that lacks a voter is written without delay: until then, a proxy that starts after
     /// the voter is removed from the bundle does not know of it.
@@ -299,9 +298,8 @@
 
     /// Replaces the group's record if it is still at `revision`; returns the new revision.
     ///
-    /// If the KV returns an error, the write may have been applied. The record is then read back,
-    /// and the write counts as successful only if the record equals ours, which names this proxy
-    /// as the claimant: two proxies never own the same term.
+    /// After a KV error the write may still have been applied, so the record is read back. It
+    /// equals ours only if this proxy is the claimant, so two proxies never own the same term.
     async fn write(&self, record: Record, revision: u64) -> Result<u64, Error> {
         let key = keys::primary(&self.group);
         let failure = match self.kv.put_if(&key, &record.to_value(), revision).await {
--- a/crates/proxy/src/control/heartbeat.rs
+++ b/crates/proxy/src/control/heartbeat.rs
@@ -1,19 +1,17 @@
-//! This proxy's heartbeat record in the key-value store (KV), by which operators and other
-//! proxies find it.
+//! This proxy's heartbeat record in the key-value store (KV), by which operators and other proxies
+//! find it.
 //!
-//! The record contains only the proxy's location. `dpctl status` asks the proxy itself for its
-//! bundle version, so a new bundle causes no KV writes by the proxies (`docs/CAPACITY.md`).
+//! It has no bundle version, so a new bundle causes no KV writes by the proxies
+//! (`docs/CAPACITY.md`). `dpctl status` asks the proxy itself for it.
 
 use std::{net::SocketAddr, time::Duration};
 
 use dandelionpitch_core::{keys, kv, Error};
 use serde::Serialize;
 
-/// The lease duration of the heartbeat record.
-///
-/// If all watchers of a group and its primary fail together, failover starts only after the leases
-/// of the watchers expire, so the duration must leave time for it within the recovery objective.
-/// It also covers several renewals, so that one failed renewal does not lose the lease.
+/// Short enough for a failover within the recovery objective when a group's primary and all its
+/// watchers fail together, as it starts only after the watchers' leases expire. Long enough that
+/// one failed renewal does not lose the lease.
 pub const LEASE_TTL_SECS: u64 = 9;
 /// Each renewal loads the KV like a read (`docs/CAPACITY.md`).
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(3);
--- a/crates/proxy/src/control/kv_watch.rs
+++ b/crates/proxy/src/control/kv_watch.rs
@@ -43,11 +43,8 @@
     }
 }
 
-/// Lists all keys, unless `next` is the revision to resume from, then watches until the watch
-/// ends.
-///
-/// The watch starts after the newest revision listed, so a change between the two calls is not
-/// missed.
+/// Lists all keys, unless `next` is the revision to resume from, then watches until the watch ends.
+/// The watch starts after the newest revision listed, so no change in between is missed.
 async fn list_and_watch(
     kv: &kv::Client,
     next: &mut Option<u64>,
--- a/crates/proxy/src/control/voters.rs
+++ b/crates/proxy/src/control/voters.rs
@@ -1,11 +1,11 @@
 //! The servers of a group that count for the promotion quorum, whether the bundle lists them or
 //! not.
 //!
-//! A server may be removed from the bundle while it is the only replica with an acknowledged
-//! commit. If the primary then fails, a quorum of the listed servers could promote one without
-//! the commit. [`Roster`] therefore counts the server until the others have everything that the
-//! primary had after the removal, and the group's record names it for other proxies
-//! (`docs/DESIGN.md`, "Failover").
+//! A server removed from the bundle may be the only replica with an acknowledged commit. If the
+//! primary then failed, a quorum of the listed servers could promote one without the commit.
+//! [`Roster`] therefore counts the server until the others have everything that the primary had
+//! after the removal, and the group's record names it for other proxies (`docs/DESIGN.md`,
+//! "Failover").
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -34,10 +34,9 @@
 
 /// The last seen log of the server at an address.
 ///
-/// A replica that is the only one with a commit may lose its log and restart empty. If it then
-/// counted as the same server, it could complete a quorum without the commit. A different log, or
-/// one that became shorter within a term, therefore starts a new incarnation, and the earlier
-/// incarnation still counts.
+/// The only replica with a commit may lose its log and restart empty. Counted as the same server,
+/// it could complete a quorum without the commit. A different log, or one that became shorter
+/// within a term, therefore starts a new incarnation, and the earlier one still counts.
 #[derive(Clone, Copy, Debug)]
 pub struct History {
     /// The number of times that the server is known to have lost its log.
@@ -113,12 +112,12 @@
         self.roster.merge(&self.recorded, at);
     }
 
-    /// How many servers must accept a new term before one of them may be promoted at it.
+    /// How many servers must accept a new term before one of them may be promoted at it. `None` if
+    /// no safe quorum exists (`docs/DESIGN.md`, "Failover").
     ///
-    /// An acknowledged commit is on the primary and on `sync_replicas` others. Any set of this many
-    /// servers intersects that set, so its most advanced member has the commit; and the remaining
-    /// servers are too few for the old primary to have another commit acknowledged. `None` if no
-    /// safe quorum exists (`docs/DESIGN.md`, "Failover").
+    /// An acknowledged commit is on the primary and on `sync_replicas` others. Any quorum
+    /// intersects that set, so its most advanced member has the commit; and the remaining servers
+    /// are too few for the old primary to have another commit acknowledged.
     pub fn quorum(&self, sync_replicas: usize) -> Option<usize> {
         match sync_replicas {
             0 => None,
--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -182,12 +182,12 @@
         self.latency.get().value()
     }
 
-    /// Whether the server's VM is reachable, by probing it with a new connection unless a recent probe
-    /// succeeded. An unreachable server is avoided.
+    /// Whether the server's VM is reachable, by probing it with a new connection unless a recent
+    /// probe succeeded.
     ///
     /// An open connection to a VM that lost power or network shows no error before a timeout. A new
-    /// one is accepted by the VM's kernel even when the VM is busy, so a failure proves that waiting
-    /// for an answer is pointless.
+    /// one is accepted by the VM's kernel even when the VM is busy, so a failure proves that
+    /// waiting for an answer is pointless.
     pub async fn is_reachable(&self) -> bool {
         let asked = clock::now();
         if asked.since(self.last_reached.get()) < PROBE_VALIDITY {
--- a/crates/proxy/src/line/backend/pool.rs
+++ b/crates/proxy/src/line/backend/pool.rs
@@ -1,8 +1,6 @@
 //! The connection pool of one backend server. A connection is used by one statement or transaction
-//! at a time. Whether a statement waits for a connection or is refused is decided by
-//! [`engine::admission`]; `queue` applies the decision.
-//!
-//! [`engine::admission`]: dandelionpitch_engine::admission
+//! at a time. [`engine::admission`](dandelionpitch_engine::admission) decides whether a statement
+//! waits for a connection or is refused; `queue` applies the decision.
 
 pub mod checkout;
 mod queue;
--- a/crates/proxy/src/line/control/election.rs
+++ b/crates/proxy/src/line/control/election.rs
@@ -39,9 +39,9 @@
 
 /// Takes part in the election until the process stops.
 ///
-/// A stopping leader first finishes active failover attempts. Otherwise, in a rolling restart during a
-/// failover, each proxy could release the leadership between holding the replicas and the promotion,
-/// and the group would have no primary until the restart is complete.
+/// A stopping leader first finishes active failover attempts. Otherwise each proxy of a rolling
+/// restart could release the leadership between pausing the replicas and the promotion, and the
+/// group would have no primary until the restart is complete.
 pub async fn run(control: Rc<Control>) {
     let mut lease = None;
     let mut stop_at = None;
--- a/crates/proxy/src/line/control/failover.rs
+++ b/crates/proxy/src/line/control/failover.rs
@@ -54,11 +54,9 @@
 struct Coordinator {
     probes: RefCell<Probes>,
     groups: RefCell<Map<String, Group>>,
-    /// The groups with an active attempt. Unlike `groups`, it is kept when the leadership is lost.
-    ///
-    /// If the leadership is lost and regained during an attempt, no second attempt may start in that
-    /// group before the first has ended. Otherwise two servers could be promoted in quick succession, and
-    /// commits acknowledged by the first would be lost.
+    /// The groups with an active attempt. Unlike `groups`, it is kept when the leadership is lost:
+    /// if it is regained during an attempt, a second attempt could promote another server in quick
+    /// succession, and commits acknowledged by the first would be lost.
     groups_in_failover: RefCell<Set<String>>,
 }
 
@@ -210,10 +208,9 @@
 
     /// Merges the group's record into the roster if it has changed in the store.
     ///
-    /// The previous leader's last record may list a server that confirms commits and that this process
-    /// does not know of. A quorum computed without it might lack acknowledged commits. So every recorded
-    /// server counts, and a promotion is recorded only as an update of the record that its roster is
-    /// based on.
+    /// The previous leader's record may list a server that confirms commits and is unknown here. A
+    /// quorum computed without it might lack acknowledged commits, so every recorded server counts,
+    /// and a promotion is recorded only as an update of the record that its roster is based on.
     fn merge_record(&mut self, control: &Control, service: &str, now: Moment) {
         let records = control.records.borrow();
         let Some(stored) = records.get(service) else {
--- a/crates/proxy/src/line/control/follow.rs
+++ b/crates/proxy/src/line/control/follow.rs
@@ -31,11 +31,9 @@
 /// effect. The rest of that time is for noticing that a poll hangs and for listing the store again.
 const POLL_TIMEOUT_FRACTION: f64 = 0.66;
 
-/// The minimum interval between polls of the store that return changes.
-///
-/// When many proxies start at once or in a rolling restart, each writes an entry, and each write ends
-/// the pending polls. With this interval, one poll returns many such changes. The first change after an
-/// idle period is not delayed.
+/// The minimum interval between polls of the store that return changes, so that one poll returns
+/// the entries of many proxies that start at once; each entry ends the pending polls. The first
+/// change after an idle period is not delayed.
 const BATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The minimum timeout of a poll that is shortened because a missing server is due to be dropped.
--- a/crates/proxy/src/line/control/probe.rs
+++ b/crates/proxy/src/line/control/probe.rs
@@ -177,8 +177,8 @@
     ///
     /// # Errors
     ///
-    /// If the connection fails, there is no answer within `timeout`, the server refuses the command, or
-    /// the answer is from another incarnation than the registered one.
+    /// If the connection fails, there is no answer within `timeout`, the server refuses the
+    /// command, or the answer is from another incarnation than the registered one.
     pub async fn send(&self, command: Command, timeout: Duration) -> Result<Status, Error> {
         let asked = clock::now();
         let status = self.exchange(command, timeout).await?;
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -12,17 +12,18 @@
     journal,
 };
 
-/// Writes a group's record, which is based on the one at the revision `known`; returns its revision.
+/// Writes a group's record, which is based on the one at the revision `known`; returns its
+/// revision.
 ///
 /// The store writes it only if this process is still the leader and the stored record is still at
-/// `known`. Otherwise this process could promote a server although its lease has expired and there is
-/// another leader, or a new leader could promote one without having seen a promotion that its
-/// predecessor has just recorded.
+/// `known`. Otherwise this process could promote a server after its lease has expired, next to
+/// another leader, or a new leader could promote one without having seen its predecessor's last
+/// promotion.
 ///
 /// # Errors
 ///
-/// [`Failure::Conflict`] if a condition does not hold, or [`Failure::Store`] if the call fails; the record
-/// may have been written all the same.
+/// [`Failure::Conflict`] if a condition does not hold, or [`Failure::Store`] if the call fails; the
+/// record may have been written all the same.
 pub async fn write_record(
     control: &Control,
     service: &str,
--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -180,12 +180,11 @@
     }
 
     /// Sets whether this proxy runs the group's statements on its own connections, and whether the
-    /// other proxies know of this proxy.
+    /// other proxies know of it.
     ///
-    /// Proxies that start together all consider themselves owners at first, and their status
-    /// requests could need more connections than the servers accept. So no search is started in the
-    /// background before this proxy has read its own entry from the store. Statements are served
-    /// nevertheless.
+    /// No search is started in the background before this proxy has read its own entry from the
+    /// store: proxies that start together all consider themselves owners at first, and their status
+    /// requests could need more connections than the servers accept.
     pub fn set_owned(&self, owned: bool, is_announced: bool) {
         self.owned.set(owned);
         self.is_announced.set(is_announced);
@@ -270,13 +269,13 @@
         }
     }
 
-    /// Whether a write to the leader is overdue, and none has been answered since. Further writes then
-    /// have to be preceded by [`Self::confirm_leader`].
+    /// Whether a write to the leader is overdue, and none has been answered since. Further writes
+    /// then have to be preceded by [`Self::confirm_leader`].
     ///
-    /// A primary that is partitioned together with this data centre never answers writes. Their
-    /// outcome is unknown, so callers cannot retry them. After the first such write, others are sent
-    /// only if a replica, asked after the write arrived, follows the primary. Otherwise the caller is
-    /// told that the write was not run.
+    /// A primary that is partitioned together with this data centre never answers writes, and
+    /// callers cannot retry them, as their outcome is unknown. Later writes are therefore sent only
+    /// if a replica, asked after the write arrived, follows the primary, and are otherwise refused
+    /// as not run.
     pub fn is_leader_suspect(&self) -> bool {
         self.leader_suspect.get()
     }
--- a/crates/proxy/src/line/group/durability.rs
+++ b/crates/proxy/src/line/group/durability.rs
@@ -39,13 +39,13 @@
 const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(80));
 
 impl Group {
-    /// Waits until it is proved that a commit survives any failover, and returns whether it is. Gives
-    /// up after `limit`, or when a primary of a later term is known. The commit is at `position` in
-    /// the log of `backend`, to which it was sent as the primary of `term`.
+    /// Waits until it is proved that a commit survives any failover, and returns whether it is.
+    /// Gives up after `limit`, or when a primary of a later term is known. The commit is at
+    /// `position` in the log of `backend`, to which it was sent as the primary of `term`.
     ///
     /// The primary's acknowledgement is no proof: it may rest on a replica that does not count for
-    /// promotions, or that received the commit only after a promotion took effect. The promoted server
-    /// would then lack the commit. See [`Commit::is_durable`].
+    /// promotions, or that received the commit only after a promotion took effect. See
+    /// [`Commit::is_durable`].
     pub async fn wait_until_durable(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
@@ -76,11 +76,9 @@
         timeout(limit, confirmed).await.unwrap_or(false)
     }
 
-    /// Whether it may be possible to confirm a commit that is made now.
-    ///
-    /// It is impossible while the list of servers that count for promotions is not current and one of
-    /// them is no longer registered. Writes are then refused, as the outcome of each would be unknown at
-    /// its deadline, and callers could not retry it.
+    /// Whether it may be possible to confirm a commit that is made now. Writes are otherwise
+    /// refused, as the outcome of each would be unknown at its deadline, and callers could not
+    /// retry it.
     pub fn can_confirm_commits(&self) -> bool {
         self.sync_replicas.get() == 0
             || self.membership() == Membership::Current
@@ -188,12 +186,10 @@
 
     /// Reads the group's record from the store and returns whether it proves that the commit is
     /// durable. If enough replicas followed the primary in a poll sent at `followed_at`, the record
-    /// also starts or renews the lease. Concurrent commits share one read and are then proved by
-    /// the lease.
+    /// also starts or renews the lease, which proves concurrent commits that share the read.
     ///
-    /// While a replica is unreachable, a lease that has expired cannot start again from answers alone.
-    /// Without the record, every commit would then have an unknown outcome until the replica is back or
-    /// removed.
+    /// While a replica is unreachable, answers alone cannot restart an expired lease. Without the
+    /// record, every commit would have an unknown outcome until the replica is back or removed.
     async fn confirm_by_record(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
--- a/crates/proxy/src/line/group/freshness.rs
+++ b/crates/proxy/src/line/group/freshness.rs
@@ -33,11 +33,11 @@
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(25);
 
 impl Group {
-    /// Whether a read that arrived at `at` sees every acknowledged commit on the known leader. Polls
-    /// the replicas if the lease does not prove it.
+    /// Whether a read that arrived at `at` sees every acknowledged commit on the known leader.
+    /// Polls the replicas if the lease does not prove it.
     ///
-    /// The leader may be partitioned together with this data centre while another primary has been
-    /// promoted, whose commits a read on the leader would miss. The [`freshness::Lease`] excludes this.
+    /// If the leader is partitioned together with this data centre, the read would miss the commits
+    /// of a primary promoted elsewhere. The [`freshness::Lease`] excludes this.
     pub async fn confirm_leader(self: &Rc<Self>, at: Moment) -> bool {
         // A poll that was sent before the read arrived may not cover it.
         for _ in 0..3 {
@@ -132,11 +132,8 @@
     }
 
     /// Records the end of a server's log, from its answer to a request sent at `asked`. Returns
-    /// `false` if the server is the known leader but the answer is not a primary's.
-    ///
-    /// A leader that was superseded may already follow another primary, or it may have restarted with
-    /// an empty log. Then its log has entries of a later term, or ends before a position that it had
-    /// reached before the request.
+    /// `false` if the server is the known leader but the answer is not a primary's: it already
+    /// follows another primary, or has restarted with an empty log.
     pub fn note_position(
         &self,
         backend: &Rc<Backend>,
--- a/crates/proxy/src/line/group/search.rs
+++ b/crates/proxy/src/line/group/search.rs
@@ -70,11 +70,9 @@
         }
     }
 
-    /// Forgets the leader if it reports that it is a replica.
-    ///
-    /// After it has stepped down, no server has a higher term until another one is promoted. If it
-    /// remained the known leader, a replica that was not held could renew its lease, and reads on it
-    /// would miss the commits of its successor.
+    /// Forgets the leader if it reports that it is a replica. No server has a higher term until
+    /// another one is promoted, so a replica that was not paused could still renew the leader's
+    /// lease, and reads on it would miss the commits of its successor.
     fn clear_demoted_leader(&self, statuses: &[(Rc<Backend>, Status)]) {
         for (backend, status) in statuses {
             if status.role != Role::Primary {
--- a/crates/proxy/src/line/journal.rs
+++ b/crates/proxy/src/line/journal.rs
@@ -1,8 +1,8 @@
 //! Structured logging to standard output, rate-limited and never blocking (`docs/OPERATIONS.md`).
 //!
-//! Lines are JSON objects. They pass through a bounded queue to a writer thread. A line is dropped if
-//! the queue is full or if its kind has exceeded its rate limit. The next line of a rate-limited kind
-//! reports in `left_out` how many were dropped.
+//! Lines are JSON objects. They pass through a bounded queue to a writer thread. A line is dropped
+//! if the queue is full or if its kind has exceeded its rate limit. The next line of a rate-limited
+//! kind reports in `left_out` how many were dropped.
 
 use std::{
     io::Write,
--- a/crates/proxy/src/line/peers.rs
+++ b/crates/proxy/src/line/peers.rs
@@ -70,12 +70,9 @@
         }
     }
 
-    /// Records that a proxy failed, and checks in the background whether the others to which statements
-    /// are forwarded can be reached.
-    ///
-    /// A network partition makes many owners unreachable at once. Without the check, statements
-    /// would wait for each of them in turn. The number of checks is limited, as otherwise each
-    /// proxy would connect to all others when all proxies restart.
+    /// Records that a proxy failed, and checks in the background whether the other owners can be
+    /// reached, as a network partition would make statements wait for each of them in turn. The
+    /// number of checks is limited for the case that all proxies restart.
     pub fn note_failure(&self, peer: &Rc<Backend>) {
         peer.mark_down();
         let now = clock::now();
--- a/crates/proxy/src/line/stop.rs
+++ b/crates/proxy/src/line/stop.rs
@@ -56,8 +56,8 @@
         self.started.clone()
     }
 
-    /// Waits for SIGTERM or Ctrl-C, then until the load balancer no longer sends new callers, and lets
-    /// idle sessions end.
+    /// Waits for SIGTERM or Ctrl-C, then until the load balancer no longer sends new callers, and
+    /// lets idle sessions end.
     ///
     /// # Errors
     /// The handler for SIGTERM cannot be installed.
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -74,8 +74,8 @@
 /// Takes a connection from the pool and sets the session's variables on it. The outer error is the
 /// pool's, the inner one a failure afterwards.
 ///
-/// A server that is leaving accepts new statements for a limited time only. A statement does not wait
-/// for a connection beyond that time, which is checked again when it gets one.
+/// A server that is leaving accepts new statements for a limited time only, so the wait for a
+/// connection ends with that time.
 async fn checkout_connection(
     backend: &Rc<Backend>,
     session: &Session,
@@ -110,9 +110,8 @@
 /// Sends the statement and reads its answer. If there is no answer in time, or the server's VM is
 /// unreachable, closes the connection and returns the reason.
 ///
-/// The timeout is usually shorter than that of the route. Otherwise a statement whose answer is
-/// lost would occupy one of the server's few connections for longer, and a transaction could not be
-/// repeated within its caller's deadline.
+/// The timeout is usually shorter than the route's. Otherwise a lost answer would occupy one of the
+/// server's few connections for longer, and leave no time to repeat a transaction.
 pub async fn exchange(
     mut checkout: Checkout,
     backend: &Backend,
--- a/crates/proxy/src/session/read.rs
+++ b/crates/proxy/src/session/read.rs
@@ -38,13 +38,13 @@
         self.read_on_primary(state.floor, call).await
     }
 
-    /// Reads on a replica of a group that this proxy does not watch. The status of each replica is
-    /// requested together with the read, and the next replica is tried if it is not acceptable.
-    /// `None` if there is no acceptable replica, or the group is watched.
+    /// Reads on a replica of a group that this proxy does not watch, and requests the replica's
+    /// status together with the read. `None` if there is no acceptable replica, or the group is
+    /// watched.
     ///
-    /// Checkout and status must each complete within `status_timeout`. A server that fails to do so
-    /// gets no reads from any session for a cooldown period. Otherwise a frozen replica would block
-    /// every read until the caller's timeout.
+    /// A server whose checkout or status takes longer than `status_timeout` gets no reads from any
+    /// session for a cooldown period. Otherwise a frozen replica would block every read until the
+    /// caller's timeout.
     async fn read_unwatched(
         &self,
         floor: Position,
@@ -142,11 +142,9 @@
         Ok(self.checkout_verified_replica(group, floor, call).await)
     }
 
-    /// Checks out a connection to a replica and asks the replica whether it has applied `floor`.
-    ///
-    /// The polled status may be one polling interval old, so a replica has usually applied a recent
-    /// floor before the status shows it. Asking costs a round trip to the replica but avoids a read
-    /// on the primary.
+    /// Checks out a connection to a replica and asks the replica whether it has applied `floor`. It
+    /// usually has before the polled status shows it, so the round trip avoids a read on the
+    /// primary.
     async fn checkout_verified_replica(
         &self,
         group: &Group,
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -127,9 +127,8 @@
 
 /// The primary found by asking the servers, in a group that this proxy does not watch.
 ///
-/// While the proxy cannot reach the key-value store (KV), it does not learn of a failover from it.
-/// Sessions whose writes fail then ask the servers, at a rate limited for all sessions together,
-/// and use the reported primary with the highest term.
+/// While the key-value store (KV) is unreachable, sessions whose writes fail ask the servers for
+/// the new primary, at a rate limited for all sessions together.
 #[derive(Clone, Debug, Default)]
 pub struct Discovery(Arc<Mutex<Search>>);
 
@@ -181,9 +180,9 @@
 impl StoredRecord {
     /// Chooses between this record and `found`, which was read from the KV later.
     ///
-    /// If the KV was restored from a backup taken before a promotion, its record names the replaced
-    /// primary, and the promotion's term could be claimed a second time. This record is therefore
-    /// kept if its term is later, with the revision of `found`, over which it is rewritten.
+    /// A KV restored from a backup taken before a promotion names the replaced primary, and the
+    /// promotion's term could be claimed a second time. This record is therefore kept if its term
+    /// is later, with the revision of `found`, over which it is rewritten.
     pub fn reconcile(&self, found: Self) -> Self {
         let order = |record: &Record| (record.term, record.server.is_some());
         match self.lost_in_restore && order(&self.record) > order(&found.record) {
