--- a/crates/e2e/tests/line_failovers.rs
+++ b/crates/e2e/tests/line_failovers.rs
@@ -77,9 +77,9 @@
     lost_items
 }
 
-/// Guards against the promotion of a third server, which lacks acknowledged commits, when a newly
-/// promoted primary is too busy to answer the failover leader. The other servers, which follow the
-/// new term, prove that there is a primary.
+/// Guards against the promotion of a third server, which lacks acknowledged commits, when the new
+/// primary is too busy to answer the failover leader and its last known status is that of a paused
+/// replica. The other servers, which follow the new term, prove that there is a primary.
 #[tokio::test]
 async fn busy_new_primary_loses_no_acknowledged_commit() {
     let site = start_site("no-time").await;
--- a/crates/proxy/src/control/failover.rs
+++ b/crates/proxy/src/control/failover.rs
@@ -298,8 +298,9 @@
 
     /// Replaces the group's record if it is still at `revision`; returns the new revision.
     ///
-    /// After a KV error the write may still have been applied, so the record is read back. It
-    /// equals ours only if this proxy is the claimant, so two proxies never own the same term.
+    /// After a KV error the write may still have been applied, so the record is read back. It names
+    /// its claimant, so it equals ours only if this proxy owns the term; two proxies never own the
+    /// same one.
     async fn write(&self, record: Record, revision: u64) -> Result<u64, Error> {
         let key = keys::primary(&self.group);
         let failure = match self.kv.put_if(&key, &record.to_value(), revision).await {
--- a/crates/proxy/src/control/heartbeat.rs
+++ b/crates/proxy/src/control/heartbeat.rs
@@ -1,8 +1,8 @@
 //! This proxy's heartbeat record in the key-value store (KV), by which operators and other proxies
 //! find it.
 //!
-//! It has no bundle version, so a new bundle causes no KV writes by the proxies
-//! (`docs/CAPACITY.md`). `dpctl status` asks the proxy itself for it.
+//! It has no bundle version, for which `dpctl status` asks the proxy itself, so a new bundle causes
+//! no KV writes by the proxies (`docs/CAPACITY.md`).
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/proxy/src/control/voters.rs
+++ b/crates/proxy/src/control/voters.rs
@@ -1,11 +1,9 @@
-//! The servers of a group that count for the promotion quorum, whether the bundle lists them or
-//! not.
+//! The servers of a group that count for the promotion quorum, whether listed in the bundle or not.
 //!
-//! A server removed from the bundle may be the only replica with an acknowledged commit. If the
-//! primary then failed, a quorum of the listed servers could promote one without the commit.
-//! [`Roster`] therefore counts the server until the others have everything that the primary had
-//! after the removal, and the group's record names it for other proxies (`docs/DESIGN.md`,
-//! "Failover").
+//! A server removed from the bundle may be the only replica with an acknowledged commit, and a
+//! quorum of the listed servers could promote one without it. [`Roster`] therefore counts the
+//! server until the others have everything that the primary had after the removal, and the group's
+//! record names it for other proxies (`docs/DESIGN.md`, "Failover").
 
 use std::{net::SocketAddr, time::Instant};
 
--- a/crates/proxy/src/line/backend.rs
+++ b/crates/proxy/src/line/backend.rs
@@ -182,8 +182,7 @@
         self.latency.get().value()
     }
 
-    /// Whether the server's VM is reachable, by probing it with a new connection unless a recent
-    /// probe succeeded.
+    /// Whether the server's VM is reachable. Probes it unless a recent probe succeeded.
     ///
     /// An open connection to a VM that lost power or network shows no error before a timeout. A new
     /// one is accepted by the VM's kernel even when the VM is busy, so a failure proves that
--- a/crates/proxy/src/line/backend/connection.rs
+++ b/crates/proxy/src/line/backend/connection.rs
@@ -46,11 +46,9 @@
     }
 }
 
-/// Sets the connection's variables to those of the session, in one write.
-///
-/// Variables of an earlier session must not affect the caller's statements: if there are any, all
-/// are reset first. Nothing else is sent before every change is acknowledged. After an error the
-/// connection is dirty.
+/// Sets the connection's variables to those of the session, in one write, and waits until every
+/// change is acknowledged. Variables of an earlier session must not affect the caller's statements,
+/// so all are reset first if there are any. After an error the connection is dirty.
 pub async fn sync_variables(connection: &mut Connection, session: &Session) -> Result<(), Error> {
     let wanted = session.variables();
     if !connection.is_dirty && connection.variables == *wanted {
--- a/crates/proxy/src/line/control/heartbeat.rs
+++ b/crates/proxy/src/line/control/heartbeat.rs
@@ -62,9 +62,10 @@
 /// Rewrites the entry without an address in a planned stop, so that no more statements are
 /// forwarded to this proxy.
 ///
-/// A deleted entry looks like one that expired in a store outage, so other proxies would still
-/// forward statements for seconds, whose outcome could be unknown. The entry is not deleted after
-/// the rewrite either: they may see only the latest state of a key and miss the rewrite.
+/// A deleted entry looks like one that expired in a store outage: other proxies would forward for
+/// seconds more, and statements in flight at the end of the process would have an unknown outcome.
+/// It stays until its lease expires, as the others may see only the latest state of a key and miss
+/// a rewrite just before a deletion.
 async fn withdraw_entry(control: &Control, lease: Lease) -> Result<(), Error> {
     write_entry(control, lease, None).await
 }
--- a/crates/proxy/src/line/control/recorder.rs
+++ b/crates/proxy/src/line/control/recorder.rs
@@ -16,9 +16,8 @@
 /// revision.
 ///
 /// The store writes it only if this process is still the leader and the stored record is still at
-/// `known`. Otherwise this process could promote a server after its lease has expired, next to
-/// another leader, or a new leader could promote one without having seen its predecessor's last
-/// promotion.
+/// `known`. Otherwise a process whose lease has expired could promote a server next to a new
+/// leader, or a new leader could promote one without knowing of its predecessor's last promotion.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/line/group.rs
+++ b/crates/proxy/src/line/group.rs
@@ -272,10 +272,9 @@
     /// Whether a write to the leader is overdue, and none has been answered since. Further writes
     /// then have to be preceded by [`Self::confirm_leader`].
     ///
-    /// A primary that is partitioned together with this data centre never answers writes, and
-    /// callers cannot retry them, as their outcome is unknown. Later writes are therefore sent only
-    /// if a replica, asked after the write arrived, follows the primary, and are otherwise refused
-    /// as not run.
+    /// A primary that is partitioned together with this data centre never answers writes, so their
+    /// outcome is unknown and callers cannot retry them. Without confirmation from a replica, asked
+    /// after the write arrived, a write is therefore refused as not run.
     pub fn is_leader_suspect(&self) -> bool {
         self.leader_suspect.get()
     }
--- a/crates/proxy/src/line/group/durability.rs
+++ b/crates/proxy/src/line/group/durability.rs
@@ -44,8 +44,8 @@
     /// `position` in the log of `backend`, to which it was sent as the primary of `term`.
     ///
     /// The primary's acknowledgement is no proof: it may rest on a replica that does not count for
-    /// promotions, or that received the commit only after a promotion took effect. See
-    /// [`Commit::is_durable`].
+    /// promotions, or that received the commit only after a promotion took effect, and the promoted
+    /// server would lack the commit. See [`Commit::is_durable`].
     pub async fn wait_until_durable(
         self: &Rc<Self>,
         backend: &Rc<Backend>,
--- a/crates/proxy/src/line/group/freshness.rs
+++ b/crates/proxy/src/line/group/freshness.rs
@@ -36,8 +36,8 @@
     /// Whether a read that arrived at `at` sees every acknowledged commit on the known leader.
     /// Polls the replicas if the lease does not prove it.
     ///
-    /// If the leader is partitioned together with this data centre, the read would miss the commits
-    /// of a primary promoted elsewhere. The [`freshness::Lease`] excludes this.
+    /// If the leader is partitioned together with this data centre, another primary may have been
+    /// promoted, whose commits the read would miss. The [`freshness::Lease`] excludes this.
     pub async fn confirm_leader(self: &Rc<Self>, at: Moment) -> bool {
         // A poll that was sent before the read arrived may not cover it.
         for _ in 0..3 {
--- a/crates/proxy/src/line/group/search.rs
+++ b/crates/proxy/src/line/group/search.rs
@@ -71,8 +71,8 @@
     }
 
     /// Forgets the leader if it reports that it is a replica. No server has a higher term until
-    /// another one is promoted, so a replica that was not paused could still renew the leader's
-    /// lease, and reads on it would miss the commits of its successor.
+    /// another one is promoted, so a replica that was not paused could still renew the old leader's
+    /// lease, and reads on the old leader would miss the commits of its successor.
     fn clear_demoted_leader(&self, statuses: &[(Rc<Backend>, Status)]) {
         for (backend, status) in statuses {
             if status.role != Role::Primary {
--- a/crates/proxy/src/line/group/single_flight.rs
+++ b/crates/proxy/src/line/group/single_flight.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::Notify;
 
-/// Deduplicates work that several statements need at the same time.
+/// Deduplicates work that several statements need at the same time: one starts it, all wait for it.
 ///
 /// The work runs in a task of its own, so that it continues if the statement that started it is
 /// cancelled, or under a [`Guard`], so that the cancellation does not leave it marked as running.
--- a/crates/proxy/src/line/peers.rs
+++ b/crates/proxy/src/line/peers.rs
@@ -71,8 +71,9 @@
     }
 
     /// Records that a proxy failed, and checks in the background whether the other owners can be
-    /// reached, as a network partition would make statements wait for each of them in turn. The
-    /// number of checks is limited for the case that all proxies restart.
+    /// reached. Otherwise statements would wait for each of them in turn in a network partition.
+    /// The number of checks is limited, as all proxies would connect to each other when all
+    /// restart.
     pub fn note_failure(&self, peer: &Rc<Backend>) {
         peer.mark_down();
         let now = clock::now();
--- a/crates/proxy/src/line/traffic/exchange.rs
+++ b/crates/proxy/src/line/traffic/exchange.rs
@@ -111,7 +111,8 @@
 /// unreachable, closes the connection and returns the reason.
 ///
 /// The timeout is usually shorter than the route's. Otherwise a lost answer would occupy one of the
-/// server's few connections for longer, and leave no time to repeat a transaction.
+/// server's few connections for longer, and leave no time to repeat a transaction within its
+/// caller's deadline.
 pub async fn exchange(
     mut checkout: Checkout,
     backend: &Backend,
--- a/crates/proxy/src/line/traffic/forwarding.rs
+++ b/crates/proxy/src/line/traffic/forwarding.rs
@@ -1,6 +1,6 @@
-//! Forwards a caller's statements to a proxy that owns the connections to their group. The engine's
-//! [`ownership`](dandelionpitch_engine::ownership) chooses the owners, and its
-//! [`forwarding`](dandelionpitch_engine::forwarding) decides whether to try another one.
+//! Forwards a caller's statements to a proxy that owns the connections to their group.
+//! [`engine::ownership`](dandelionpitch_engine::ownership) chooses the owners, and
+//! [`engine::forwarding`](dandelionpitch_engine::forwarding) decides whether to try another one.
 
 use std::rc::Rc;
 
--- a/crates/proxy/src/session/read.rs
+++ b/crates/proxy/src/session/read.rs
@@ -142,9 +142,8 @@
         Ok(self.checkout_verified_replica(group, floor, call).await)
     }
 
-    /// Checks out a connection to a replica and asks the replica whether it has applied `floor`. It
-    /// usually has before the polled status shows it, so the round trip avoids a read on the
-    /// primary.
+    /// Checks out a connection to a replica that confirms it has applied `floor`. It has usually
+    /// done so before its polled status shows it, so the round trip saves a read on the primary.
     async fn checkout_verified_replica(
         &self,
         group: &Group,
