--- a/crates/proxy/src/control/assignment.rs
+++ b/crates/proxy/src/control/assignment.rs
@@ -57,7 +57,8 @@
 
     /// Applies a complete list read at `now`. Proxies missing from it still count for
     /// [`MISSING_TIMEOUT`]: the first list after a KV outage that outlasts the leases has only the
-    /// proxies that have renewed since, and those few would otherwise watch every group.
+    /// proxies that have renewed since, and those few would otherwise watch every group. Only a
+    /// lease that expires while the KV is available removes a proxy sooner.
     pub fn replace(&mut self, members: Vec<Member>, now: Instant) {
         let listed: Set<&Member> = members.iter().collect();
         let known = self.dcs.values().flatten().map(|entry| &entry.member);
