--- a/crates/core/src/era.rs
+++ b/crates/core/src/era.rs
@@ -1,9 +1,8 @@
 //! Orders store revisions across restores of the store from a backup.
 //!
-//! A restored store may have lost its last acknowledged writes and reuses their revisions; it
-//! increments its era with each restore (`docs/DESIGN.md`, "The store comes back from a copy"). A
-//! stamp is a revision prefixed with its era, so that each stamp of a later era is higher. Mirrors,
-//! fencing tokens and records compare stamps only. A store that reports no era is always in era
+//! A restored store may have lost its last acknowledged writes and reuses their revisions, but it
+//! increments its era (`docs/DESIGN.md`, "The store comes back from a copy"). A stamp is a revision
+//! prefixed with its era, so only stamps may be compared. A store that reports no era is in era
 //! zero, where the stamp equals the revision.
 
 /// Number of low bits of a stamp that contain the revision. The bits above contain the era, which
--- a/crates/core/src/kv.rs
+++ b/crates/core/src/kv.rs
@@ -1,11 +1,10 @@
 //! Client of the platform's key-value service, which serves the etcd v3 JSON gateway API.
 //!
-//! The platform KV offers compare-and-swap, leases and watches. It may be slow or unavailable, and
-//! a response may be lost after the operation took effect. Every call therefore has a timeout, and
-//! none is retried here.
+//! Every call has a timeout, as the KV may be slow or unavailable. None is retried here, as a
+//! response may be lost after the operation took effect.
 //!
-//! The API of this module represents revisions as stamps ([`era`]) and leases with their era.
-//! Revisions and lease ids of an earlier era are never sent to the KV, which may have reused them.
+//! Revisions are represented as stamps ([`era`]) and leases with their era. Those of an earlier era
+//! are never sent to the KV, which may have reused them.
 
 pub mod wire;
 
--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -1,9 +1,8 @@
 //! Log positions of a database group and their text form, the session token.
 //!
-//! A session's token is the position of its last acknowledged write. A proxy may serve the
-//! session's reads from a replica only once that replica has applied the position. The caller
-//! presents the token to each proxy, so read-your-writes also holds after the session moves to
-//! another proxy (`docs/DESIGN.md`, "Read-your-writes after roaming").
+//! A session's token is the position of its last acknowledged write. A replica may serve the
+//! session's reads once it has applied that position, through any proxy to which the caller
+//! presents the token (`docs/DESIGN.md`, "Read-your-writes after roaming").
 
 use std::{fmt, str::FromStr};
 
@@ -22,11 +21,9 @@
 impl Position {
     /// Whether a server that has applied `self` also has every acknowledged write up to `other`.
     ///
-    /// Terms are compared first. A server whose last entry is of a later term has every
-    /// acknowledged entry of the earlier terms, because only a server whose log contains all of
-    /// them is promoted (`docs/DESIGN.md`, "Failover"). A partitioned, superseded primary may
-    /// write unacknowledged entries whose sequence numbers exceed those of its successor; as these
-    /// entries are of the earlier term, they never cover a position of the successor.
+    /// A later term covers all earlier ones, as only a server with all their acknowledged entries
+    /// is promoted (`docs/DESIGN.md`, "Failover"). A superseded primary may write unacknowledged
+    /// entries with higher sequence numbers, but they never cover a position of its successor.
     pub fn covers(self, other: Self) -> bool {
         self >= other
     }
--- a/crates/core/src/primary.rs
+++ b/crates/core/src/primary.rs
@@ -1,9 +1,8 @@
 //! The primary record of a database group in the platform KV.
 //!
-//! A proxy claims a term by writing a record with it. Records are only replaced by
-//! compare-and-swap, and only by a record of a higher term or by one of the same term that adds
-//! the server. Therefore two proxies never promote in the same term (`docs/DESIGN.md`,
-//! "Failover").
+//! A proxy claims a term by writing a record with it. Two proxies never promote in the same term,
+//! because a record is replaced only by compare-and-swap, and only by one of a higher term or one
+//! of the same term that adds the server (`docs/DESIGN.md`, "Failover").
 
 use std::net::SocketAddr;
 
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -56,9 +56,8 @@
 
 /// Writes the bundle to the KV if its version is higher than the current one.
 ///
-/// The write is a compare-and-swap on the revision that was read, so it never reverts a concurrent
-/// write of another operator. If the response is lost, the key is read again to find out whether
-/// the write took effect.
+/// The compare-and-swap never reverts a concurrent write of another operator. If its response is
+/// lost, reading the key again shows whether the write took effect.
 async fn put(file: &Path, kv: &kv::Client) -> Result<String, String> {
     let (text, bundle) = read(file)?;
     let current = kv
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -66,9 +66,8 @@
 /// use for `hold` at a time on average.
 ///
 /// A statement that can still meet its target goes before one that cannot, since otherwise both
-/// would be late. Statements that cannot finish before their deadline are refused now, instead of
-/// being sent or waiting until they time out. Execution is estimated at half of `hold`, because the
-/// mean includes transactions that keep their connection while idle.
+/// would be late. One that cannot finish before its deadline is refused now instead of timing out.
+/// Execution is estimated at half of `hold`, because the mean includes idle transactions.
 pub fn select(entries: &[Queued], hold: Duration, now: Moment) -> Selection {
     let done = now + hold / 2;
     let too_late = |queued: &(usize, &Queued)| done > queued.1.deadline;
@@ -87,9 +86,8 @@
 
 /// Whether a statement that arrived `waited` ago may keep searching for a server.
 ///
-/// During a failover or a network partition there may be no server for a second or more. An early
-/// refusal lets the caller try another proxy or retry later, where waiting would only use up its
-/// timeout.
+/// There may be none for a second or more during a failover or a network partition. An early
+/// refusal leaves the caller time to try another proxy or to retry.
 pub fn may_search(waited: Duration, target: Duration) -> bool {
     waited <= target / SEARCH_TARGET_DIVISOR
 }
--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -1,9 +1,8 @@
 //! Decides whether a commit survives any failover, before its caller is told that it succeeded
 //! (`docs/DESIGN.md`, "Commits are confirmed").
 //!
-//! A primary acknowledges a commit as soon as any replica has received it. That does not prove that
-//! the commit is durable: the replica may not count for promotions, or it may have received the
-//! commit only after a promotion took effect.
+//! A primary acknowledges a commit once any replica has received it, but that replica may not count
+//! for promotions, or may have received it only after a promotion took effect.
 
 use dandelionpitch_core::position::Position;
 
@@ -94,14 +93,13 @@
     }
 
     /// Whether the caller may be told that the commit succeeded. `lease` is that of the primary
-    /// that made the commit, if it is still known as the primary of the commit's term. `others` are
-    /// all other servers, including those that count for promotions but are no longer registered.
+    /// that made the commit, if it is still known as the primary of the commit's term. `others`
+    /// includes servers that count for promotions but are no longer registered.
     ///
-    /// When a promotion takes effect, the holds on the replicas end. A replica that the new primary
-    /// does not reach may then receive the commit from the old one, and the commit is rolled back
-    /// later. So confirmation by `sync_replicas` replicas suffices only while the lease proves that
-    /// no promotion can have taken effect. Without a lease all other servers must have the commit,
-    /// so that it survives the promotion of any of them.
+    /// A promotion ends the holds on the replicas, and one that the new primary does not reach may
+    /// then receive the commit from the old one, although it is rolled back later. So
+    /// `sync_replicas` replicas suffice only while the lease excludes a promotion. Otherwise all
+    /// other servers must have the commit, so that it survives the promotion of any of them.
     pub fn is_durable(
         &self,
         lease: Option<&Lease>,
@@ -118,17 +116,15 @@
         self.is_replicated_by(|h| h.is_voter && lease.excludes_promotion(h.first_seen))
     }
 
-    /// As [`Self::is_durable`], but proved by the group's record in the store, for a commit of the
-    /// primary `leader`.
+    /// As [`Self::is_durable`] for a commit of the primary `leader`, but proved by the group's
+    /// record in the store, requested after enough voters had the commit.
     ///
-    /// The record was requested after enough voters had the commit, and it shows no promotion after
-    /// that of `leader`. A later failover requests its members' statuses again after writing the
-    /// record, and finds the commit on those servers.
+    /// If the record shows no promotion after that of `leader`, a later failover finds the commit
+    /// on those servers, as it requests their statuses again after writing the record.
     ///
-    /// The record also names `leader` if another server was promoted and then `leader` once more,
-    /// and a server may have reported the commit in between. The report must therefore be less than
-    /// [`PROMOTION_WAIT`] old when the record is requested: at least that time passes between such
-    /// a report and the second promotion.
+    /// The record also names `leader` if another server and then `leader` again was promoted. At
+    /// least [`PROMOTION_WAIT`] passes between a report of the commit in between and the second
+    /// promotion, so only reports younger than that when the record is requested count.
     pub fn is_durable_by_record(&self, record: &Snapshot, leader: &Incarnation) -> bool {
         let promoted = record.promoted.as_deref();
         let leads = promoted.is_none_or(|promoted| promoted == leader.id);
--- a/crates/engine/src/delta.rs
+++ b/crates/engine/src/delta.rs
@@ -1,8 +1,7 @@
 //! Delta encoding of values.
 //!
-//! A small change to a configuration of hundreds of kilobytes is relayed to dozens of followers. Sent in
-//! full, it would saturate the relay's network link until the followers time out and request it
-//! elsewhere; a delta has the size of the change.
+//! Sending a large configuration in full to dozens of followers after each small change would
+//! saturate the relay's network link until the followers time out and request it elsewhere.
 
 use dandelionpitch_core::hash::{self, Map};
 
--- a/crates/engine/src/election.rs
+++ b/crates/engine/src/election.rs
@@ -1,9 +1,8 @@
 //! Elects the failover leader, the one process at a time that may promote servers, by a lease in
 //! the key-value store.
 //!
-//! The fencing token is the stamp ([`crate::era`]) of the leader's key. Stamps grow with every
-//! change of the store and also when it is restored from a backup, so a later leader has a higher
-//! token.
+//! The fencing token is the stamp ([`crate::era`]) of the leader's key, so a later leader has a
+//! higher token even if the store was restored from a backup.
 
 use std::time::Duration;
 
@@ -32,10 +31,9 @@
 /// The minimum time between seeing the leadership vacant and claiming it, for a process that
 /// started `age` ago; `is_relay` tells whether it watches the store itself.
 ///
-/// A recently started process does not know when a group's last promotion was, so it promotes
-/// nothing until [`PROMOTION_COOLDOWN`] after its start. If it became the leader, groups whose
-/// primary failed together with the last leader would stay without one; older processes therefore
-/// claim first.
+/// Older processes claim first: a recently started one does not know when a group's last promotion
+/// was and promotes nothing until [`PROMOTION_COOLDOWN`] after its start. As leader, it would leave
+/// groups whose primary failed together with the last leader without one until then.
 pub fn claim_delay(age: Duration, is_relay: bool) -> Duration {
     let startup_delay = match age < PROMOTION_COOLDOWN {
         true => STARTUP_DELAY,
@@ -122,9 +120,8 @@
     /// The fencing token, if this process is certain to stay the leader long enough for one more
     /// call.
     ///
-    /// The lease counts from when its renewal was sent, on a clock that includes suspended time:
-    /// otherwise a leader that was suspended while another was elected would promote with its old
-    /// token.
+    /// The lease counts from when its renewal was sent, on a clock that includes suspended time.
+    /// Otherwise a leader could resume after another was elected and promote with its old token.
     pub fn token(&self, now: Moment) -> Option<u64> {
         self.token.filter(|_| self.is_lease_valid(now))
     }
--- a/crates/engine/src/feed.rs
+++ b/crates/engine/src/feed.rs
@@ -1,10 +1,9 @@
-//! Relaying of store changes between proxies: which source a proxy follows, and how stale a source may
-//! be.
+//! Relaying of store changes between proxies: which source a proxy follows, and how stale a source
+//! may be.
 //!
-//! The store cannot serve a watch to each of hundreds of proxies. A few proxies of each data centre, the
-//! relays, watch it; the others follow a relay, preferably of their own data centre, and watch the store
-//! only if no relay answers (`docs/DESIGN.md`, "Changes of the store"). Writes, conditional updates and
-//! leases always go to the store.
+//! The store cannot serve a watch to each of hundreds of proxies. A few proxies of each data
+//! centre, the relays, watch it; the others follow a relay and watch the store only if none answers
+//! (`docs/DESIGN.md`, "Changes of the store"). Writes and leases always go to the store.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -153,9 +152,8 @@
 /// that it sent at `asked`. The relay responded `waited` after it received the request, and may
 /// have missed changes of the last `age` before that.
 ///
-/// The result is a lower bound even if the relay or follower was suspended or the response was delayed:
-/// the relay responded `waited` after `asked` at the earliest, and both durations are measured by
-/// the relay's clock, which includes time in suspension.
+/// This is a lower bound: the relay responded no earlier than `waited` after `asked`, and its
+/// clock, which measures both durations, includes time in suspension.
 pub fn synced_until(asked: Moment, waited: Duration, age: Duration) -> Moment {
     asked + waited - age
 }
--- a/crates/engine/src/fence.rs
+++ b/crates/engine/src/fence.rs
@@ -1,10 +1,9 @@
 //! One failover attempt: which members are fenced, and which server may be promoted.
 //!
-//! The process that runs the attempt orders the primary to step down and the replicas to pause
-//! replication. A replica that has paused is held: it receives nothing until the promotion takes
-//! effect or the attempt is abandoned. `docs/DESIGN.md`, "Failover" proves that no acknowledged
-//! commit is lost: a new primary is chosen only once the old one can no longer acknowledge commits,
-//! and only from a set of logs at least one of which holds every acknowledged commit.
+//! The primary is ordered to step down and the replicas to pause replication. A paused replica is
+//! held: it receives nothing until the promotion takes effect or the attempt is abandoned. A new
+//! primary is chosen only once the old one can no longer acknowledge commits, and only from a set
+//! of logs at least one of which holds every acknowledged commit (`docs/DESIGN.md`, "Failover").
 
 use dandelionpitch_core::position::Position;
 
@@ -107,11 +106,10 @@
 
     /// Records a member's answer to its order.
     ///
-    /// A server that was told to step down may have become a replica of a newer primary earlier;
-    /// its answer then looks as if the primary had stepped down, while the newer one keeps
-    /// acknowledging commits. So stepping down counts only for a server that reported itself as the
-    /// primary of the newest term, with no later promotion, and a member already in the attempt's
-    /// term ends the attempt.
+    /// A server told to step down may already be a replica of a newer primary, which keeps
+    /// acknowledging commits. So its answer counts as stepping down only if it had reported itself
+    /// as the primary of the newest term, with no later promotion. A member already in the
+    /// attempt's term ends the attempt.
     pub fn note(&mut self, member: &Member, after: &Status) -> Response {
         if has_restarted(member, after) {
             return Response::Restarted;
@@ -150,12 +148,11 @@
     /// Checks that the choice is still safe, from statuses requested after the promotion was
     /// recorded in the store.
     ///
-    /// A held server that restarts is no longer held and may confirm commits of the old primary
-    /// that the promoted server lacks, and the chosen server may lose its log. A held log does not
-    /// change, so the members that the choice depends on, including the chosen one, must report
-    /// that they are still fenced with the same log. A commit confirmed because the store showed no
-    /// promotion was on its replicas before the record was written, so it is in the logs compared
-    /// here.
+    /// A held server that restarts may confirm commits of the old primary that the chosen server
+    /// lacks, and the chosen server may lose its log. So the members that the choice depends on,
+    /// including the chosen one, must report that they are still fenced with the same log. A commit
+    /// confirmed because the store showed no promotion was on its replicas before the record was
+    /// written, so it is in the logs compared here.
     ///
     /// # Errors
     ///
@@ -230,10 +227,8 @@
 
 /// The server to promote, or `None` if no safe choice exists.
 ///
-/// `held` are the members held as replicas, and `stepped_down` is the old primary if it has
-/// stepped down. Two cases are safe. If a [`quorum`] is held, the longest of their logs has every
-/// acknowledged commit. If the old primary stepped down, its own log has them all, so the choice is
-/// a held server whose log is at least as long, or the old primary itself.
+/// The longest log of a held [`quorum`] has every acknowledged commit. So has the log of an old
+/// primary that stepped down, and thus any held log that is at least as long.
 pub fn choose<'a>(
     quorum: usize,
     held: &'a [Fenced],
--- a/crates/engine/src/forwarding.rs
+++ b/crates/engine/src/forwarding.rs
@@ -44,11 +44,9 @@
 /// Allows for one owner of the group in each of two data centres.
 const MAX_ATTEMPTS: usize = 2;
 
-/// Whether a statement that arrived `waited` ago is forwarded to the next proxy after `attempts` proxies
-/// have refused it, the last one with `code`.
-///
-/// Another owner may have a shorter queue, or still reach the servers during a network partition. A
-/// statement is retried only if it was not run and enough of its target is left.
+/// Whether a statement that arrived `waited` ago is forwarded to another proxy after `attempts`
+/// proxies have refused it, the last one with `code`. Another owner may have a shorter queue or
+/// still reach the servers; only a statement that was not run can be retried safely.
 pub fn may_retry(code: Code, attempts: usize, waited: Duration, target: Duration) -> bool {
     code.guarantees_not_run() && attempts < MAX_ATTEMPTS && admission::may_search(waited, target)
 }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -12,9 +12,8 @@
 /// How long a replica's confirmation that it follows the primary is valid, from the time of the
 /// request.
 ///
-/// A failover first holds the replicas, so that they accept nothing from the old primary, and then
-/// waits for at least [`PROMOTION_WAIT`]. No other server can acknowledge a commit while the
-/// confirmation is valid.
+/// A failover holds the replicas and then waits for at least [`PROMOTION_WAIT`], so no other server
+/// can acknowledge a commit while the confirmation is valid.
 pub const LEADER_LEASE: Duration = Duration::from_millis(500);
 
 /// How long a failover waits between holding the replicas and the promotion: the lease, plus a
@@ -47,11 +46,9 @@
 impl Watermarks {
     /// Adds a position of the primary's log that was requested while its lease was valid.
     ///
-    /// A position of a later term drops the earlier watermarks: the old primary's log may have
-    /// ended in entries that were rolled back, which no server will ever have again.
-    ///
-    /// A position lower than the last one is ignored: a log does not become shorter within a term,
-    /// so it comes from a primary that restarted with an empty log, and reads would miss commits.
+    /// A later term drops the earlier watermarks: the old primary's log may have ended in entries
+    /// that were rolled back, which no server will ever have again. A lower position within a term
+    /// comes from a primary that restarted with an empty log, and reads would miss commits.
     pub fn note(&mut self, mark: Watermark) {
         if let Some(last) = self.marks.back().copied() {
             let lower = mark.position < last.position && mark.asked >= last.asked;
@@ -89,9 +86,8 @@
 
     /// The newest position that the primary's log is known to have had.
     ///
-    /// Linearizable reads run only on a log that reaches this position. A primary that restarts
-    /// under its id with an empty log keeps its lease, as no other server leads, and would
-    /// otherwise serve reads that miss every commit.
+    /// A primary that restarts under its id with an empty log keeps its lease, as no other server
+    /// leads. Its linearizable reads would miss every commit if they did not require this position.
     pub fn newest_position(&self) -> Option<Position> {
         self.newest()
             .map(|mark| mark.position)
@@ -104,11 +100,8 @@
     }
 }
 
-/// What the other members reported about the primary in answer to requests sent after `asked`.
-///
-/// A poll extends the lease from `asked`. One with too few followers to start a lease can only
-/// renew it, and only if the answers arrived within [`PROMOTION_WAIT`] of the poll behind the last
-/// grant or renewal: later answers may be from after a promotion.
+/// What the other members reported about the primary in answer to requests sent after `asked`, from
+/// which time the poll extends the [`Lease`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
     pub asked: Moment,
@@ -147,13 +140,13 @@
 
 /// The leader lease: the proof that no server but the known primary has acknowledged a commit.
 ///
-/// A promotion releases the held replicas, and until they learn of the new primary they report that
-/// they follow the old one. So a lease starts only when all other members follow the primary.
-/// Fewer can renew it, but only within [`PROMOTION_WAIT`] of the last time, too short for a
-/// failover to hold the replicas and promote a server. A poll that does neither but intersects
+/// After a promotion, replicas report that they follow the old primary until they learn of the new
+/// one. So a lease starts only when all other members follow the primary. Fewer can renew it if
+/// they answer within [`PROMOTION_WAIT`] of the requests behind the last start or renewal, too soon
+/// for a failover to have held the replicas and promoted a server. Any other poll that intersects
 /// every commit quorum covers only reads that arrived before its requests were sent: if a newer
-/// primary had acknowledged a commit by then, one of the replicas polled would have it and would
-/// not follow the old primary.
+/// primary had acknowledged a commit by then, a polled replica would have it and would not follow
+/// the old primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
     /// Reads that arrived no later than this see every commit on the primary.
@@ -215,10 +208,9 @@
 /// A watermark obtained without the primary, so that bounded-staleness reads are served while the
 /// primary is unreachable and no other can be promoted.
 ///
-/// Of the `voters` servers that count for promotions, some answered requests sent after `asked`;
-/// `received` are the log positions that they reported. A commit confirmed to a caller is on its
-/// primary and on `sync_replicas` more voters. If at most `sync_replicas` voters did not answer,
-/// one that did has the commit, so the highest position covers every such commit.
+/// `received` are the log positions that voters reported in answer to requests sent after `asked`.
+/// A commit confirmed to a caller is on `sync_replicas` + 1 voters, including its primary, so at
+/// least one answered if at most `sync_replicas` did not.
 pub fn quorum_watermark(
     asked: Moment,
     received: &[Position],
@@ -244,8 +236,7 @@
 /// Relates the status of another server to the primary of `term`.
 ///
 /// A server that rejoins after a partition may still be in an earlier term. It must neither confirm
-/// a primary that it does not know nor revoke that primary's lease, so only replicas of the same
-/// term count as followers.
+/// nor revoke the lease of a primary that it does not know.
 pub fn relation(status: &Status, term: u64) -> Relation {
     if status.term > term || status.held > term {
         return Relation::Supersedes;
--- a/crates/engine/src/isolation.rs
+++ b/crates/engine/src/isolation.rs
@@ -1,10 +1,9 @@
-//! Detects that this proxy's data centre is partitioned from all others, so that callers are better
-//! served elsewhere.
+//! Detects that this proxy's data centre is partitioned from all others.
 //!
 //! A proxy in a partitioned data centre can serve neither writes nor, beyond the staleness bound,
-//! reads. It reports not ready, so that the load balancer sends new callers to another data centre,
-//! and then closes idle sessions, so that their callers reconnect there. A proxy that has lost only
-//! the store or some of the servers stays ready, as it serves no worse than others.
+//! reads. It reports not ready and then closes idle sessions, so that callers connect to another
+//! data centre. A proxy that has lost only the store or some of the servers stays ready, as it
+//! serves no worse than others.
 
 use std::time::Duration;
 
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -8,9 +8,8 @@
 
 /// How long a proxy whose entry expired still counts for the division of connections.
 ///
-/// A proxy that loses the store keeps its connections to the servers. If the others claimed its share
-/// at once, the servers would reach their connection limits. The time is long enough for a partitioned
-/// VM to return or terminate.
+/// A proxy that loses the store keeps its connections, so the servers would reach their limits if
+/// others claimed its share at once. Long enough for a partitioned VM to return or terminate.
 const COUNT_RETENTION: Duration = Duration::from_secs(20);
 
 /// How long statements are still forwarded to a proxy whose entry expired. Entries that expire during an
--- a/crates/engine/src/mirror.rs
+++ b/crates/engine/src/mirror.rs
@@ -1,9 +1,7 @@
-//! A copy of the store's content, from which changes are relayed to other proxies.
+//! A copy of the store's content, from which changes are relayed to other proxies, so that the
+//! store's load does not grow with their number (`docs/DESIGN.md`, "Changes of the store").
 //!
-//! If every proxy watched the store, its load would grow with the number of proxies times the
-//! number of changes. A proxy with a mirror answers others like the store itself: with the changes
-//! since the revision that they have reached (`docs/DESIGN.md`, "Changes of the store"). All
-//! revisions in this module are stamps ([`era`]).
+//! All revisions in this module are stamps ([`era`]).
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -94,12 +92,10 @@
 
     /// Applies an update unless it is older than the mirror, and returns whether it was applied.
     ///
-    /// Older updates occur when a proxy switches to a source that is behind the previous one; applied,
-    /// they would bring back an older configuration.
-    ///
-    /// A later era means that the store was restored from a backup. It has to start with a snapshot,
-    /// since changes alone would leave keys in the mirror that the restored store does not have. The
-    /// mirror is cleared first, so its followers get a snapshot as well.
+    /// An older update, from a source that is behind the previous one, would bring back an older
+    /// configuration. The first update of a later era, after the store was restored from a backup,
+    /// must be a snapshot: changes alone would leave keys that the restored store does not have.
+    /// The mirror is cleared first, so its followers get a snapshot as well.
     pub fn apply(&mut self, update: &Update<V>) -> bool {
         if update.revision < self.revision {
             return false;
--- a/crates/engine/src/ownership.rs
+++ b/crates/engine/src/ownership.rs
@@ -3,11 +3,11 @@
 //! Servers accept too few connections for every proxy of a large deployment to have its own. A few
 //! proxies of each data centre therefore own a group's connections, and the others forward their
 //! statements to one of them (`docs/DESIGN.md`, "Many proxies"). This also limits the number of
-//! queues, and of status requests to the servers, per group.
+//! queues and status requests per group.
 //!
-//! Owners are chosen by weighted rendezvous hashing over the live proxies, so proxies with the same
-//! list choose the same owners. Lists may differ temporarily; this is harmless, as every proxy serves
-//! the statements that are forwarded to it.
+//! Owners are chosen by weighted rendezvous hashing over the live proxies. Proxies whose lists
+//! differ may choose different owners; this is harmless, as every proxy serves the statements that
+//! are forwarded to it.
 
 use std::{cmp::Ordering, net::SocketAddr};
 
--- a/crates/engine/src/placement.rs
+++ b/crates/engine/src/placement.rs
@@ -1,7 +1,6 @@
 //! Load balancing of reads over the servers of a database group.
 //!
-//! Servers are ordered by expected latency, estimated from this proxy's in-flight statements on
-//! each server and their recent latencies. The primary is chosen only if all replicas are clearly
+//! Servers are ordered by expected latency. The primary is chosen only if all replicas are clearly
 //! slower, as it is the only server that accepts writes.
 
 use std::time::Duration;
@@ -47,11 +46,9 @@
     }
 }
 
-/// Returns the indexes of the candidates in the order to try them. Ties are broken by `rotation`, which
-/// the caller increments so that equal servers share the load.
-///
-/// A primary's latency is dominated by short writes and says little about reads, so it is taken as no
-/// lower than that of the fastest replica.
+/// Returns the indexes of the candidates in the order to try them. The caller increments `rotation`
+/// so that equal servers share the load. A primary's latency counts as no lower than the fastest
+/// replica's, because it is dominated by short writes and says little about reads.
 pub fn order(candidates: &[Candidate], rotation: usize) -> Vec<usize> {
     let count = candidates.len().max(1);
     let replicas = candidates.iter().filter(|candidate| !candidate.primary);
--- a/crates/engine/src/registry.rs
+++ b/crates/engine/src/registry.rs
@@ -112,11 +112,10 @@
 
 impl Registry {
     /// Notes that no change of the store up to `moment` was missed. A starting proxy passes the
-    /// start of the VM, as a server may have announced at any time since that it will stop.
+    /// start of the VM, as a server may have announced its stop at any time since.
     ///
-    /// The store may be unreachable when a server announces that it will stop. The drain period
-    /// counts from the last synced time, not from when the proxy learns of the announcement: by
-    /// then the server may be about to stop.
+    /// The drain period counts from the last such moment: by the time a proxy learns of an
+    /// announcement after an outage of the store, the server may be about to stop.
     pub fn note_synced(&mut self, moment: Moment) {
         self.synced_until = Some(moment);
     }
--- a/crates/engine/src/restart.rs
+++ b/crates/engine/src/restart.rs
@@ -8,10 +8,9 @@
 /// The last status of a server's registered incarnation.
 ///
 /// A replica may confirm a commit, restart with an empty log, and answer before its new
-/// registration is seen. If the answer were attributed to the earlier incarnation, it would count
-/// as proof of commits that the server has lost, or the server would be held as part of a quorum
-/// that lacks the commit. So a status that shows a restart is rejected, and the last one before it
-/// is kept, which also rejects all later statuses with a shorter log.
+/// registration is seen. Attributed to the earlier incarnation, the answer would prove commits that
+/// the server has lost, or the server would count in a quorum that lacks them. So it is rejected,
+/// and the last status is kept to reject all later ones with a shorter log as well.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Detector {
     last: Option<(Status, Moment)>,
--- a/crates/engine/src/roster.rs
+++ b/crates/engine/src/roster.rs
@@ -2,12 +2,10 @@
 //! that no other server has.
 //!
 //! A primary and the replica that acknowledged its last commits may be partitioned together, or the
-//! replica may leave for good. When their registrations expire, the remaining servers look like the
-//! whole group, and the one promoted would lack those commits. So a server that is no longer
-//! registered counts until enough of the others have everything that the primary had after it
-//! vanished. The list is kept in the store, where a new failover leader finds it. A server that
-//! restarts under its id has lost its log and counts as another server; its earlier incarnation has
-//! vanished.
+//! replica may leave for good; a server promoted from the rest would lack those commits. So an
+//! unregistered server counts until enough of the others have everything that the primary had after
+//! it vanished. The list is kept in the store, where a new failover leader finds it. A server that
+//! restarts under its id has lost its log, so its earlier incarnation has vanished.
 
 use std::time::Duration;
 
--- a/crates/engine/src/share.rs
+++ b/crates/engine/src/share.rs
@@ -16,9 +16,8 @@
 /// One proxy's share of the connections to a server with `slots` slots that accepts
 /// `max_connections` from all `members` live proxies together; at least one.
 ///
-/// The number of slots limits the share too. Under overload, for example when all reads go to the
-/// primary, statements then wait in the proxies, which order them by priority and deadline and
-/// refuse those that would be late, and not in the server's queue.
+/// The slots limit the share so that, under overload, statements wait in the proxies, which order
+/// them by priority and deadline and refuse late ones, and not in the server's queue.
 pub fn connections(max_connections: u32, slots: u32, members: usize) -> usize {
     let members = members.max(1);
     let usable = usable(max_connections);
--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/takeover.rs
@@ -1,8 +1,6 @@
 //! Whether a group's primary has to be replaced, and by which server.
 //!
-//! `docs/DESIGN.md`, "Failover" proves that no acknowledged commit is lost: a new primary is chosen
-//! only once the old one can no longer acknowledge commits, and only from a set of logs at least
-//! one of which holds every acknowledged commit.
+//! `docs/DESIGN.md`, "Failover" proves that no acknowledged commit is lost.
 
 use std::time::Duration;
 
@@ -321,10 +319,9 @@
 
 /// Whether a member may lead the newest term although its last status does not show it.
 ///
-/// A busy server's last status may be older than its promotion, while others already follow it; the
-/// group then looks leaderless, and replacing the healthy primary would lose acknowledged commits.
-/// Only a status requested after the newest term was first reported rules its server out, or one
-/// that is in the newest term itself, as that server follows another.
+/// A busy server's last status may be older than its promotion, and replacing the healthy primary
+/// would lose acknowledged commits. Only a status requested after the newest term was first
+/// reported, or one in that term (of a server that follows another), rules its server out.
 fn may_lead(member: &Member, (term, first_reported): (u64, Moment)) -> bool {
     match member.sight {
         Sight::Unknown => true,
@@ -375,10 +372,9 @@
 
 /// Whether a server that reported `before` and later `after` has restarted in between.
 ///
-/// A log is truncated only when the term changes, so a log that became shorter within a term
-/// belongs to a new incarnation. A replica may confirm a commit and restart with an empty log
-/// before its new registration is seen; counted in a promotion quorum, it would let a server
-/// without the commit be promoted.
+/// A log is truncated only when the term changes, so one that became shorter within a term is of a
+/// new incarnation. If that counted in a promotion quorum, a server without a confirmed commit
+/// could be promoted.
 pub fn has_restarted(before: &Status, after: &Status) -> bool {
     after.term <= before.term && after.received < before.received
 }
