--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -93,8 +93,8 @@
     }
 
     /// Whether the caller may be told that the commit succeeded. `lease` is that of the primary
-    /// that made the commit, if it is still known as the primary of the commit's term. `others`
-    /// includes servers that count for promotions but are no longer registered.
+    /// that made the commit, if it is still known as the primary of the commit's term. `others` are
+    /// all other servers, including those that count for promotions but are no longer registered.
     ///
     /// A promotion ends the holds on the replicas, and one that the new primary does not reach may
     /// then receive the commit from the old one, although it is rolled back later. So
@@ -122,7 +122,7 @@
     /// If the record shows no promotion after that of `leader`, a later failover finds the commit
     /// on those servers, as it requests their statuses again after writing the record.
     ///
-    /// The record also names `leader` if another server and then `leader` again was promoted. At
+    /// The record also names `leader` if another server was promoted and then `leader` once more. At
     /// least [`PROMOTION_WAIT`] passes between a report of the commit in between and the second
     /// promotion, so only reports younger than that when the record is requested count.
     pub fn is_durable_by_record(&self, record: &Snapshot, leader: &Incarnation) -> bool {
--- a/crates/engine/src/fence.rs
+++ b/crates/engine/src/fence.rs
@@ -107,8 +107,8 @@
     /// Records a member's answer to its order.
     ///
     /// A server told to step down may already be a replica of a newer primary, which keeps
-    /// acknowledging commits. So its answer counts as stepping down only if it had reported itself
-    /// as the primary of the newest term, with no later promotion. A member already in the
+    /// acknowledging commits. So its answer counts as stepping down only if the server had reported
+    /// itself as the primary of the newest term, with no later promotion. A member already in the
     /// attempt's term ends the attempt.
     pub fn note(&mut self, member: &Member, after: &Status) -> Response {
         if has_restarted(member, after) {
