--- a/crates/engine/src/commit.rs
+++ b/crates/engine/src/commit.rs
@@ -122,8 +122,8 @@
     /// If the record shows no promotion after that of `leader`, a later failover finds the commit
     /// on those servers, as it requests their statuses again after writing the record.
     ///
-    /// The record also names `leader` if another server was promoted and then `leader` once more. At
-    /// least [`PROMOTION_WAIT`] passes between a report of the commit in between and the second
+    /// The record also names `leader` if another server was promoted and then `leader` once more.
+    /// At least [`PROMOTION_WAIT`] passes between a report of the commit in between and the second
     /// promotion, so only reports younger than that when the record is requested count.
     pub fn is_durable_by_record(&self, record: &Snapshot, leader: &Incarnation) -> bool {
         let promoted = record.promoted.as_deref();
