--- a/crates/engine/src/fence.rs
+++ b/crates/engine/src/fence.rs
@@ -149,10 +149,10 @@
     /// recorded in the store.
     ///
     /// A held server that restarts may confirm commits of the old primary that the chosen server
-    /// lacks, and the chosen server may lose its log. So the members that the choice depends on,
-    /// including the chosen one, must report that they are still fenced with the same log. A commit
-    /// confirmed because the store showed no promotion was on its replicas before the record was
-    /// written, so it is in the logs compared here.
+    /// lacks, and the chosen server may lose its log. A held log does not change, so the members
+    /// that the choice depends on, including the chosen one, must report that they are still fenced
+    /// with the same log. A commit confirmed because the store showed no promotion was on its
+    /// replicas before the record was written, so it is in the logs compared here.
     ///
     /// # Errors
     ///
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -140,13 +140,13 @@
 
 /// The leader lease: the proof that no server but the known primary has acknowledged a commit.
 ///
-/// After a promotion, replicas report that they follow the old primary until they learn of the new
-/// one. So a lease starts only when all other members follow the primary. Fewer can renew it if
-/// they answer within [`PROMOTION_WAIT`] of the requests behind the last start or renewal, too soon
-/// for a failover to have held the replicas and promoted a server. Any other poll that intersects
-/// every commit quorum covers only reads that arrived before its requests were sent: if a newer
-/// primary had acknowledged a commit by then, a polled replica would have it and would not follow
-/// the old primary.
+/// A promotion releases the held replicas, and until they learn of the new primary they report that
+/// they follow the old one. So a lease starts only when all other members follow the primary. Fewer
+/// can renew it if they answer within [`PROMOTION_WAIT`] of the requests behind the last start or
+/// renewal, too soon for a failover to have held the replicas and promoted a server. Any other poll
+/// that intersects every commit quorum covers only reads that arrived before its requests were
+/// sent: if a newer primary had acknowledged a commit by then, a polled replica would have it and
+/// would not follow the old primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
     /// Reads that arrived no later than this see every commit on the primary.
@@ -210,7 +210,8 @@
 ///
 /// `received` are the log positions that voters reported in answer to requests sent after `asked`.
 /// A commit confirmed to a caller is on `sync_replicas` + 1 voters, including its primary, so at
-/// least one answered if at most `sync_replicas` did not.
+/// least one answered if at most `sync_replicas` did not, and the highest position covers the
+/// commit.
 pub fn quorum_watermark(
     asked: Moment,
     received: &[Position],
--- a/crates/engine/src/takeover.rs
+++ b/crates/engine/src/takeover.rs
@@ -319,9 +319,10 @@
 
 /// Whether a member may lead the newest term although its last status does not show it.
 ///
-/// A busy server's last status may be older than its promotion, and replacing the healthy primary
-/// would lose acknowledged commits. Only a status requested after the newest term was first
-/// reported, or one in that term (of a server that follows another), rules its server out.
+/// A busy server's last status may be older than its promotion; the group then looks leaderless,
+/// and replacing the healthy primary would lose acknowledged commits. Only a status requested after
+/// the newest term was first reported, or one in that term (of a server that follows another),
+/// rules its server out.
 fn may_lead(member: &Member, (term, first_reported): (u64, Moment)) -> bool {
     match member.sight {
         Sight::Unknown => true,
